--- a/bench/admission_lookup.cpp
+++ b/bench/admission_lookup.cpp
@@ -2,7 +2,7 @@
 // of a flood from a million sources, and what it holds then.
 //
 //   build/tests/bench_admission_lookup
-#include "admission/door.hpp"
+#include "admission/connection_limiter.hpp"
 #include "standins/program/program.hpp"
 
 #include <chrono>
@@ -59,17 +59,17 @@
     Entrance rules;
     rules.crowds[0].per_address = 20;
     const long before = standins::resident_kb("self");
-    Door door(rules, 586, 1);
-    std::vector<Guest> guests(586);
+    ConnectionLimiter limiter(rules, 586, 1);
+    std::vector<ClientConnection> guests(586);
     for (std::size_t i = 0; i < guests.size(); ++i)
-        door.opened(guests[i], {0, 0xffff0a000000 + i}, 0), door.asked(guests[i]);
+        limiter.try_admit(guests[i], {0, 0xffff0a000000 + i}, 0), limiter.rpc_started(guests[i]);
     constexpr int kSources = 1000000;
-    Guest passing;
+    ClientConnection passing;
     const auto began = Clock::now();
     for (int i = 0; i < kSources; ++i)
-        door.opened(passing, {0, 0xffff20000000 + static_cast<std::uint64_t>(i)}, i);
+        limiter.try_admit(passing, {0, 0xffff20000000 + static_cast<std::uint64_t>(i)}, i);
     std::cout << "flood from " << kSources << " sources: " << ns_since(began, kSources)
-              << " ns a connection, " << door.sources() << " addresses kept, "
-              << standins::resident_kb("self") - before << " KiB more, refused " << door.refused(Why::no_room)
-              << "\n";
+              << " ns a connection, " << limiter.source_count() << " addresses kept, "
+              << standins::resident_kb("self") - before << " KiB more, refused "
+              << limiter.refusals(RefusalReason::no_capacity) << "\n";
 }
--- a/src/cli/admission.cpp
+++ b/src/cli/admission.cpp
@@ -1,6 +1,6 @@
 // `admission show` and `admission explain ADDRESS`: what the settings' rules come to, worked out as a router
 // does that has nobody in it yet.
-#include "admission/door.hpp"
+#include "admission/connection_limiter.hpp"
 #include "base/bad_input.hpp"
 #include "cli/commands.hpp"
 #include "settings/read.hpp"
@@ -62,8 +62,8 @@
     const auto address = boost::asio::ip::make_address(asked.address, failed);
     if (failed) throw BadInput("address: not one of IPv4 or IPv6: " + asked.address);
     const Number number = number_of(address);
-    const admission::Door door(rules, asked.room, 0);
-    std::cout << door.explain(number, 0);
+    const admission::ConnectionLimiter limiter(rules, asked.room, 0);
+    std::cout << limiter.explain(number, 0);
     for (const Network &front : rules.fronts)
         if (front.holds(number))
             std::cout << "a front, by " << front.text()
--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -42,10 +42,11 @@
     // Asks for a seat; whoever goes for it is closed. Above 0: it may not stay, and is to come back after so
     // long.
     Ticks come_in(const asio::ip::address &from) {
-        const admission::Reception said = home_.door_->opened(guest_, number_of(from), home_.now());
-        seated_ = said.welcome();
-        if (said.instead) static_cast<Client *>(said.instead->owner)->close();
-        return home_.rules_->observe ? 0 : said.back;
+        const admission::ConnectionDecision said =
+            home_.door_->try_admit(guest_, number_of(from), home_.now());
+        seated_ = said.admitted();
+        if (said.evicted) static_cast<Client *>(said.evicted->owner)->close();
+        return home_.rules_->observe ? 0 : said.retry_after;
     }
 
     asio::awaitable<void> serve() {
@@ -92,7 +93,7 @@
     }
     bool used() const { return used_; }
     void unseat() {
-        if (std::exchange(seated_, false)) home_.door_->left(guest_);
+        if (std::exchange(seated_, false)) home_.door_->closed(guest_);
         answered_.clear();
     }
     Clock::time_point since() const { return since_; }
@@ -138,11 +139,11 @@
         resume_.cancel();
         linger_.cancel();
         for (const auto &[place, id] : std::exchange(waiting_, {})) home_.desk_.left(id);
-        if (std::exchange(seated_, false)) home_.door_->left(guest_);
+        if (std::exchange(seated_, false)) home_.door_->closed(guest_);
         home_.held_bytes_ -= std::exchange(bytes_, 0);
         home_.busy(*this);
         home_.open_.erase(shared_from_this());
-        if (std::exchange(counted, false)) home_.ledger_.give_back(admission::Purpose::clients);
+        if (std::exchange(counted, false)) home_.ledger_.release(admission::Purpose::clients);
         home_.room_.cancel();
     }
 
@@ -245,7 +246,7 @@
         try {
             const Asked asked = read_rpc(words, home_.start_.names, home_.start_.limits.word);
             waiting_.emplace_back(place, asked.id);
-            if (seated_) home_.door_->asked(guest_);
+            if (seated_) home_.door_->rpc_started(guest_);
             home_.last_rpc_ = Clock::now();
             home_.desk_.rpc({shared_from_this(), place},
                             std::make_shared<const Held>(session_.command(), asked), age_);
@@ -302,7 +303,7 @@
         if (session_.owes() || closed_) return;
         const auto answered = std::exchange(answered_, {});
         if (seated_)
-            for (const bool served : answered) home_.door_->answered(guest_, served, home_.now());
+            for (const bool served : answered) home_.door_->rpc_finished(guest_, served, home_.now());
     }
 
     // A half-closed client cannot be told from one that has gone: its RPCs end. What it may still read is an
@@ -317,7 +318,7 @@
     Clock::time_point since_;
     Span age_{0}; // of what was read last, by then
     Clock::time_point half_since_{}; // when the command under way began
-    admission::Guest guest_;
+    admission::ClientConnection guest_;
     std::vector<bool> answered_; // RPCs whose answers are not all written: were they served?
     std::string head_; // of a front, as far as it has come
     std::size_t bytes_ = 0; // what it holds, as counted among all
@@ -327,8 +328,8 @@
     std::size_t discarded_ = 0; // bytes after those that could not be read
 };
 
-Clients::Clients(asio::io_context &io, const Start &start, const Log &log, admission::Ledger &ledger,
-                 Desk &desk)
+Clients::Clients(asio::io_context &io, const Start &start, const Log &log,
+                 admission::DescriptorBudget &ledger, Desk &desk)
     : io_(io), start_(start), log_(log), ledger_(ledger), desk_(desk), acceptor_(io),
       room_to_read_(start.limits.read_step), room_(io) {
     rules(start.entrance);
@@ -343,7 +344,7 @@
         for (const auto &client : open_) client->unseat();
         door_.reset();
     } else if (door_) {
-        door_->rules(*rules_);
+        door_->set_rules(*rules_);
     } else {
         door_.emplace(*rules_, start_.limits.clients, start_.seed);
     }
@@ -419,7 +420,7 @@
         if (const Ticks back = client->come_in(from); back > 0) return client->turn_away(back);
     open_.insert(client);
     client->counted =
-        ledger_.take(admission::Purpose::clients); // not, where all is taken in to be answered at the end
+        ledger_.acquire(admission::Purpose::clients); // not, where all is taken in to be answered at the end
     if (!door_) make_room(start_.limits.kept, start_.limits.looked_at);
     asio::co_spawn(io_, client->serve(), detached);
 }
@@ -437,7 +438,7 @@
             make_room(limits.clients - limits.accepts, 2 * limits.accepts);
         // The door has to see who asks: it closes one for each that it lets in beyond its room.
         const std::size_t kept_back = door_ ? 0 : limits.at_door;
-        const auto full = [&] { return ledger_.room(admission::Purpose::clients) <= kept_back; };
+        const auto full = [&] { return ledger_.available(admission::Purpose::clients) <= kept_back; };
         if (full()) {
             note_full();
             room_.expires_after(limits.accept_pause);
--- a/src/router/clients/clients.hpp
+++ b/src/router/clients/clients.hpp
@@ -1,8 +1,8 @@
 // The driver of clients' connections: accepts, reads, writes. What a command asks goes to the core.
 #pragma once
 
-#include "admission/door.hpp"
-#include "admission/ledger.hpp"
+#include "admission/connection_limiter.hpp"
+#include "admission/descriptor_budget.hpp"
 #include "router/clients/request.hpp"
 #include "router/clients/session.hpp"
 
@@ -38,7 +38,8 @@
 class Clients {
   public:
     // Descriptors are taken from the ledger, which outlives this.
-    Clients(asio::io_context &io, const Start &start, const Log &log, admission::Ledger &ledger, Desk &desk);
+    Clients(asio::io_context &io, const Start &start, const Log &log, admission::DescriptorBudget &ledger,
+            Desk &desk);
 
     void listen(); // throws system_error
     static void answer(const Reply &reply, std::string bytes);
@@ -49,7 +50,7 @@
 
     // Other rules from now on; those without any keep the door open as it is. Owned together with the caller.
     void rules(std::shared_ptr<const Entrance> rules);
-    const admission::Door *door() const { return door_ ? &*door_ : nullptr; }
+    const admission::ConnectionLimiter *door() const { return door_ ? &*door_ : nullptr; }
 
   private:
     friend class Client;
@@ -74,11 +75,11 @@
     asio::io_context &io_;
     const Start &start_;
     const Log &log_;
-    admission::Ledger &ledger_;
+    admission::DescriptorBudget &ledger_;
     Desk &desk_;
     asio::ip::tcp::acceptor acceptor_;
     std::shared_ptr<const Entrance> rules_; // none: whoever finds room comes in
-    std::optional<admission::Door> door_; // looks at the rules
+    std::optional<admission::ConnectionLimiter> door_; // looks at the rules
     std::vector<char> room_to_read_; // for one read at a time, of whichever client
     std::size_t held_bytes_ = 0; // of all clients
     std::unordered_set<std::shared_ptr<Client>> open_;
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -12,8 +12,8 @@
 
 // Clients and hosts have parts of their own; those for the list, the platform and the rest are the reserve
 // that the limits leave out.
-admission::Ledger ledger_of(const Limits &limits) {
-    std::array<admission::Ledger::Part, admission::kPurposes> parts{};
+admission::DescriptorBudget ledger_of(const Limits &limits) {
+    std::array<admission::DescriptorBudget::Allotment, admission::kPurposeCount> parts{};
     const auto part = [&](admission::Purpose purpose) -> auto & {
         return parts[static_cast<std::size_t>(purpose)];
     };
@@ -207,7 +207,8 @@
         } else {
             Ticks back = made.span;
             if (counter_ && !entrance_->observe)
-                back = clients::allowed(start_.terms, counter_->pushed_back(at->second.wanted, back, time()));
+                back =
+                    clients::allowed(start_.terms, counter_->schedule_retry(at->second.wanted, back, time()));
             answer(at->second, clients::busy(back));
         }
         return forget_if_over(made.rpc);
@@ -265,11 +266,11 @@
     const Ticks now = time();
     rpc.wanted = {asked.tenant, asked.method,
                   mix(std::string(asked.key), static_cast<std::uint64_t>(asked.method)), asked.retry};
-    counter_->lay(std::chrono::duration_cast<Tick>(age).count());
-    const admission::Told told = counter_->arrived(rpc.wanted, now);
-    rpc.counted = told.by == admission::Held::none;
+    counter_->record_read_delay(std::chrono::duration_cast<Tick>(age).count());
+    const admission::RpcDecision decision = counter_->try_admit(rpc.wanted, now);
+    rpc.counted = decision.reason == admission::PushbackReason::none;
     if (rpc.counted || entrance_->observe) return true;
-    turn_away(rpc, id, told.back);
+    turn_away(rpc, id, decision.retry_after);
     return false;
 }
 
@@ -279,7 +280,7 @@
 }
 
 void Driver::over(Rpc &rpc, bool served) {
-    if (std::exchange(rpc.counted, false)) counter_->over(served, time());
+    if (std::exchange(rpc.counted, false)) counter_->finished(served, time());
 }
 
 void Driver::left(const std::string &id) {
@@ -441,19 +442,23 @@
 void Driver::say_held() {
     if (!counter_) return;
     std::uint64_t refused = 0;
-    for (const admission::Why why :
-         {admission::Why::crowd_full, admission::Why::address_full, admission::Why::network_full,
-          admission::Why::opens_too_fast, admission::Why::no_room})
-        refused += clients_.door()->refused(why);
+    for (const admission::RefusalReason reason :
+         {admission::RefusalReason::crowd_limit, admission::RefusalReason::address_limit,
+          admission::RefusalReason::network_limit, admission::RefusalReason::open_rate_limit,
+          admission::RefusalReason::no_capacity})
+        refused += clients_.door()->refusals(reason);
     std::uint64_t held = 0;
-    for (const admission::Held by : {admission::Held::quota, admission::Held::retries, admission::Held::late})
-        held += counter_->held(by);
+    for (const admission::PushbackReason reason :
+         {admission::PushbackReason::quota, admission::PushbackReason::retry_budget,
+          admission::PushbackReason::lateness})
+        held += counter_->pushbacks(reason);
     if (refused == said_refused_ && held == said_held_) return;
     log_(Level::info, "door: ", entrance_->observe ? "would have refused" : "refused", " connections ",
-         refused - said_refused_, ", made way ", clients_.door()->made_way(), ", pushed back by quota ",
-         counter_->held(admission::Held::quota), ", as retries ", counter_->held(admission::Held::retries),
-         ", late ", counter_->held(admission::Held::late), ", under way ", counter_->under_way(),
-         ", clients ", clients_.door()->open(), ", addresses ", clients_.door()->sources());
+         refused - said_refused_, ", made way ", clients_.door()->evictions(), ", pushed back by quota ",
+         counter_->pushbacks(admission::PushbackReason::quota), ", as retries ",
+         counter_->pushbacks(admission::PushbackReason::retry_budget), ", late ",
+         counter_->pushbacks(admission::PushbackReason::lateness), ", under way ", counter_->in_flight(),
+         ", clients ", clients_.door()->open_connections(), ", addresses ", clients_.door()->source_count());
     said_refused_ = refused;
     said_held_ = held;
 }
--- a/src/router/driver.hpp
+++ b/src/router/driver.hpp
@@ -1,8 +1,8 @@
 // Owns the module: what peers tell becomes calls on it, and its decisions become messages. One thread.
 #pragma once
 
-#include "admission/counter.hpp"
-#include "admission/ledger.hpp"
+#include "admission/descriptor_budget.hpp"
+#include "admission/rpc_limiter.hpp"
 #include "membership/registration.hpp"
 #include "membership/source.hpp"
 #include "rehearsal/rehearsal.hpp"
@@ -37,7 +37,7 @@
         bool finished = false; // answered, or its client has left
         std::size_t under_way = 0;
         int cell = -1;
-        admission::Wanted wanted{}; // as the counter was asked
+        admission::RpcInfo wanted{}; // as the counter was asked
         bool counted = false; // it is under way there
         std::vector<std::shared_ptr<hosts::Call>> picks{};
         bool unrun = true; // none of its picks that have ended may have run
@@ -90,9 +90,9 @@
     std::optional<membership::Registration> own_key_; // in the registry
     std::optional<release::Office> office_; // where releases go by cell
     std::unordered_map<std::string, Rpc> rpcs_;
-    admission::Ledger ledger_; // of all descriptors
+    admission::DescriptorBudget ledger_; // of all descriptors
     hosts::Hosts hosts_;
-    std::optional<admission::Counter> counter_; // where our settings tell of admission
+    std::optional<admission::RpcLimiter> counter_; // where our settings tell of admission
     std::shared_ptr<const Entrance> entrance_;
     clients::Clients clients_;
     list::Watch watch_;
--- a/src/router/hosts/hosts.cpp
+++ b/src/router/hosts/hosts.cpp
@@ -184,7 +184,7 @@
     bool noted_ = false, cut_ = false, sent_ = false, refused_ = false;
 };
 
-Hosts::Hosts(asio::io_context &io, const Start &start, const Log &log, admission::Ledger &ledger)
+Hosts::Hosts(asio::io_context &io, const Start &start, const Log &log, admission::DescriptorBudget &ledger)
     : io_(io), start_(start), log_(log), ledger_(ledger), trust_(start.limits) {}
 
 void Hosts::put(const std::string &id, const Address &address, bool ready, Ticks started, int build) {
@@ -334,9 +334,10 @@
 // a full house from ending in RPCs that reach nobody.
 bool Hosts::take_descriptor() {
     using admission::Purpose;
-    if (ledger_.take(Purpose::hosts)) return true;
+    if (ledger_.acquire(Purpose::hosts)) return true;
     free_idle(idle_ / 2);
-    return ledger_.take(Purpose::hosts) || (Clock::now() < drain_until_ && ledger_.take(Purpose::drains));
+    return ledger_.acquire(Purpose::hosts) ||
+           (Clock::now() < drain_until_ && ledger_.acquire(Purpose::drains));
 }
 
 asio::awaitable<void> Hosts::dial(std::string id, std::uint64_t process, Address address) {
@@ -391,7 +392,7 @@
     socket->close(ignored);
     socket.reset();
     using admission::Purpose; // what drains took comes back first
-    ledger_.give_back(ledger_.taken(Purpose::drains) > 0 ? Purpose::drains : Purpose::hosts);
+    ledger_.release(ledger_.in_use(Purpose::drains) > 0 ? Purpose::drains : Purpose::hosts);
 }
 
 void Hosts::drop_idle(Place &place, std::size_t keep) {
--- a/src/router/hosts/hosts.hpp
+++ b/src/router/hosts/hosts.hpp
@@ -1,7 +1,7 @@
 // The driver of connections to hosts: one pick at a time on each, the most recently used first.
 #pragma once
 
-#include "admission/ledger.hpp"
+#include "admission/descriptor_budget.hpp"
 #include "router/clients/request.hpp"
 #include "router/hosts/exchange.hpp"
 #include "router/hosts/trust.hpp"
@@ -26,7 +26,7 @@
 class Hosts {
   public:
     // Descriptors are taken from the ledger, which outlives this.
-    Hosts(asio::io_context &io, const Start &start, const Log &log, admission::Ledger &ledger);
+    Hosts(asio::io_context &io, const Start &start, const Log &log, admission::DescriptorBudget &ledger);
 
     // What the list says of a host; `started` and `build` tell one process at an address from the next.
     void put(const std::string &id, const Address &address, bool ready, Ticks started, int build);
@@ -55,7 +55,7 @@
     void sweep();
     void free_idle(std::size_t most); // closes idle connections beyond so many
     std::size_t open() const {
-        return ledger_.taken(admission::Purpose::hosts) + ledger_.taken(admission::Purpose::drains);
+        return ledger_.in_use(admission::Purpose::hosts) + ledger_.in_use(admission::Purpose::drains);
     }
     int build_of(const std::string &id) const; // below 0: not listed
 
@@ -97,7 +97,7 @@
     asio::io_context &io_;
     const Start &start_;
     const Log &log_;
-    admission::Ledger &ledger_;
+    admission::DescriptorBudget &ledger_;
     std::unordered_map<std::string, Place> places_;
     std::unordered_set<Call *> unsent_; // picks whose last byte has yet to be written
     // Where keys stay: picks that are on their hosts, by key and build.
--- a/src/router/start.cpp
+++ b/src/router/start.cpp
@@ -1,6 +1,6 @@
 #include "router/start.hpp"
 
-#include "admission/counter.hpp"
+#include "admission/rpc_limiter.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -130,7 +130,7 @@
 }
 
 void check_fits(const Start &start, const Entrance &entrance) {
-    admission::Counter(entrance, start.names.tenants, start.names.methods, start.terms.instances, 0);
+    admission::RpcLimiter(entrance, start.names.tenants, start.names.methods, start.terms.instances, 0);
     std::size_t reserved = 0;
     for (const Crowd &crowd : entrance.crowds) reserved += static_cast<std::size_t>(crowd.reserve);
     if (reserved > start.limits.clients)
--- a/tests/admission/command_test.cpp
+++ b/tests/admission/command_test.cpp
@@ -34,7 +34,7 @@
            has(ran, "over 50 ms"));
     ran = call({"admission", "explain", "--settings", file, "10.1.2.3"});
     assert(ran.status == 0 && has(ran, "crowd desks: by network 10.0.0.0/8") &&
-           has(ran, "of its network 10.1.2.0/24: 0 open, at most 7") &&
+           has(ran, "connections of its network 10.1.2.0/24: 0 open, at most 7") &&
            ran.said.find("a front, by") == std::string::npos);
     ran = call({"admission", "explain", "--settings", file, "::ffff:10.9.9.9"});
     assert(ran.status == 0 && has(ran, "a front, by 10.9.9.9/32"));
--- a/tests/admission/property_test.cpp
+++ b/tests/admission/property_test.cpp
@@ -1,5 +1,5 @@
 // Random comings and goings at a door, under random rules that change: what must hold after each.
-#include "admission/door.hpp"
+#include "admission/connection_limiter.hpp"
 
 #include <memory>
 #include <rapidcheck.h>
@@ -57,12 +57,12 @@
     constexpr std::size_t kRoom = 12;
     std::vector<Entrance> rules{random_rules(), random_rules()};
     std::size_t now_rules = 0;
-    Door door(rules[0], kRoom, 1);
-    std::vector<std::unique_ptr<Guest>> inside;
+    ConnectionLimiter limiter(rules[0], kRoom, 1);
+    std::vector<std::unique_ptr<ClientConnection>> inside;
     std::vector<int> rpcs; // open, by guest
     Ticks now = 0;
     const auto drop = [&](std::size_t at) {
-        door.left(*inside[at]);
+        limiter.closed(*inside[at]);
         inside.erase(inside.begin() + static_cast<std::ptrdiff_t>(at));
         rpcs.erase(rpcs.begin() + static_cast<std::ptrdiff_t>(at));
     };
@@ -71,55 +71,56 @@
         const std::size_t who = inside.empty() ? 0 : static_cast<std::size_t>(move.who) % inside.size();
         if (move.kind < 6) {
             const Entrance &at = rules[now_rules];
-            auto guest = std::make_unique<Guest>();
+            auto guest = std::make_unique<ClientConnection>();
             const int crowd = std::max(0, at.networks.group_of(address(move.from)));
-            const int before = door.open(crowd);
-            const std::size_t open = door.open();
-            const Reception said = door.opened(*guest, address(move.from), now);
-            if (said.instead) {
+            const int before = limiter.open_connections(crowd);
+            const std::size_t open = limiter.open_connections();
+            const ConnectionDecision said = limiter.try_admit(*guest, address(move.from), now);
+            if (said.evicted) {
                 std::size_t gone = 0;
-                while (inside[gone].get() != said.instead) ++gone;
+                while (inside[gone].get() != said.evicted) ++gone;
                 hold(rpcs[gone] == 0, "one with an RPC open went");
                 drop(gone);
             }
-            if (said.welcome()) {
+            if (said.admitted()) {
                 const Crowd &rule = at.crowds[static_cast<std::size_t>(crowd)];
                 hold(rule.most == 0 || before < rule.most, "over most");
                 inside.push_back(std::move(guest));
                 rpcs.push_back(0);
             } else {
-                hold(said.back >= 2000 && said.back <= 400000, "no time to come back");
+                hold(said.retry_after >= 2000 && said.retry_after <= 400000, "no time to come back");
                 // Room that is its own is never refused for want of room.
-                if (said.why == Why::no_room && open < kRoom)
+                if (said.reason == RefusalReason::no_capacity && open < kRoom)
                     hold(before >= at.crowds[static_cast<std::size_t>(crowd)].reserve,
                          "its reserve was refused");
             }
         } else if (inside.empty()) {
             continue;
         } else if (move.kind < 8) {
-            door.asked(*inside[who]);
+            limiter.rpc_started(*inside[who]);
             ++rpcs[who];
         } else if (move.kind < 10) {
             if (rpcs[who] == 0) continue;
-            door.answered(*inside[who], move.from % 2 == 0, now);
+            limiter.rpc_finished(*inside[who], move.from % 2 == 0, now);
             --rpcs[who];
         } else if (move.kind == 10) {
             drop(who);
         } else {
             now_rules = 1 - now_rules;
-            door.rules(rules[now_rules]);
+            limiter.set_rules(rules[now_rules]);
         }
-        hold(door.open() == inside.size() && door.open() <= kRoom, "those inside are counted");
+        hold(limiter.open_connections() == inside.size() && limiter.open_connections() <= kRoom,
+             "those inside are counted");
         int by_crowd = 0;
-        for (int i = 0; i < 3; ++i) by_crowd += door.open(i);
+        for (int i = 0; i < 3; ++i) by_crowd += limiter.open_connections(i);
         hold(by_crowd == static_cast<int>(inside.size()), "crowds add up");
-        hold(door.sources() <= 64 + 2 * kRoom + 2, "addresses are bounded");
-        const Guest *const next = door.first_to_go(now + 100000, 0);
+        hold(limiter.source_count() <= 64 + 2 * kRoom + 2, "addresses are bounded");
+        const ClientConnection *const next = limiter.next_to_evict(now + 100000, 0);
         for (std::size_t i = 0; i < inside.size(); ++i)
             hold(inside[i].get() != next || rpcs[i] == 0, "the next to go has an RPC open");
     }
     while (!inside.empty()) drop(0);
-    hold(door.open() == 0, "all have left");
+    hold(limiter.open_connections() == 0, "all have left");
 }
 
 } // namespace
--- a/tests/client_close_test.cpp
+++ b/tests/client_close_test.cpp
@@ -47,8 +47,8 @@
     std::vector<clients::Reply> kept;
 };
 
-admission::Ledger ledger_for(const Limits &limits) {
-    std::array<admission::Ledger::Part, admission::kPurposes> parts{};
+admission::DescriptorBudget ledger_for(const Limits &limits) {
+    std::array<admission::DescriptorBudget::Allotment, admission::kPurposeCount> parts{};
     parts[static_cast<std::size_t>(admission::Purpose::clients)] = {limits.clients, limits.clients};
     return {limits.clients, parts};
 }
@@ -95,7 +95,7 @@
     Town town;
     Start start;
     ScriptedDesk desk;
-    admission::Ledger ledger = ledger_for(start.limits);
+    admission::DescriptorBudget ledger = ledger_for(start.limits);
     std::optional<clients::Clients> served;
     bool left = false;
 };
