--- a/src/admission/connection_limiter.cpp
+++ b/src/admission/connection_limiter.cpp
@@ -39,7 +39,7 @@
         return refuse(connection, reason, 0);
     ConnectionDecision decision;
     if (!has_capacity_for(connection.crowd)) {
-        decision.evicted = select_for_eviction(&connection, now, kMinIdle);
+        decision.evicted = select_for_eviction(&connection, now, kMinIdleBeforeEviction);
         if (!decision.evicted) return refuse(connection, RefusalReason::no_capacity, 0);
         ++evictions_;
     }
--- a/src/admission/connection_limiter.hpp
+++ b/src/admission/connection_limiter.hpp
@@ -1,7 +1,8 @@
 // Decides which client connections are admitted, and which idle connection is closed first when none are
 // free. The caller reports connections that open and close and RPCs that start and finish, each with the
-// current time in ticks; the limiter itself opens, closes and reads no socket. It refuses connections only:
-// RPCs of an admitted connection are limited in rpc_limiter.hpp, and then by the decision module.
+// current time in ticks (tenths of a millisecond); the limiter itself touches no socket. It refuses
+// connections only: RPCs of an admitted connection are limited in rpc_limiter.hpp, and then by the decision
+// module.
 //
 // No call blocks. Not thread-safe.
 #pragma once
@@ -53,7 +54,9 @@
     // Decides on a new connection from `address`. An admitted one is referenced until `closed` is called.
     ConnectionDecision try_admit(ClientConnection &connection, const Number &address, Ticks now);
     void rpc_started(ClientConnection &connection);
+    // `served`: whether the RPC was answered with a value.
     void rpc_finished(ClientConnection &connection, bool served, Ticks now);
+    // Must be called for each admitted connection once it is closed.
     void closed(ClientConnection &connection);
 
     // Returns the connection to close first when descriptors run short elsewhere; null where there is none.
@@ -76,7 +79,7 @@
 
     // A connection that has been idle for less is not closed for a new one: its next command may already be
     // on its way.
-    static constexpr Ticks kMinIdle = 30;
+    static constexpr Ticks kMinIdleBeforeEviction = 30;
 
   private:
     // Classes of idle connections, in the order in which they are closed: those without a served RPC, first
--- a/src/admission/rpc_limiter.cpp
+++ b/src/admission/rpc_limiter.cpp
@@ -109,7 +109,7 @@
     return std::max(retry_after, min_retry_after);
 }
 
-void RpcLimiter::record_read_delay(Ticks delay) { max_read_delay_ = std::max(max_read_delay_, delay); }
+void RpcLimiter::record_lateness(Ticks lateness) { peak_lateness_ = std::max(peak_lateness_, lateness); }
 
 // Late reads mean that more RPCs arrive than this router can handle: the limit is cut below the number
 // recently in flight, again in each interval until reads are timely. It is raised only where RPCs in flight
@@ -117,13 +117,13 @@
 void RpcLimiter::update_concurrency_limit(Ticks now) {
     if (rules_.late_aim <= 0 || now - limit_updated_at_ < kUpdateInterval) return;
     const auto peak = static_cast<double>(peak_in_flight_);
-    if (max_read_delay_ > rules_.late_aim)
+    if (peak_lateness_ > rules_.late_aim)
         concurrency_limit_ = std::max<double>(
             rules_.least_under_way, std::min(concurrency_limit_, std::max(peak, 1.0)) * kLimitDecrease);
     else if (peak >= concurrency_limit_ - 1)
         concurrency_limit_ = std::min(
             kMaxConcurrencyLimit, concurrency_limit_ + std::max(1.0, concurrency_limit_ * kLimitIncrease));
-    max_read_delay_ = 0;
+    peak_lateness_ = 0;
     peak_in_flight_ = in_flight_;
     limit_updated_at_ = now;
 }
--- a/src/admission/rpc_limiter.hpp
+++ b/src/admission/rpc_limiter.hpp
@@ -2,8 +2,8 @@
 // any pick: those over a quota, retries over the retry budget, and those that exceed the concurrency limit
 // while the router reads its clients' commands late. It only ever reduces what the module is asked.
 //
-// The caller reports RPCs, pushbacks, final answers and read delays, each with the current time in ticks. No
-// call blocks. Not thread-safe.
+// The caller reports RPCs, pushbacks, final answers and lateness, each with the current time in ticks
+// (tenths of a millisecond). No call blocks. Not thread-safe.
 #pragma once
 
 #include "admission/token_bucket.hpp"
@@ -40,13 +40,14 @@
 
     // An admitted RPC is in flight until `finished` is called for it.
     RpcDecision try_admit(const RpcInfo &rpc, Ticks now);
+    // `served`: whether it was answered with a value.
     void finished(bool served, Ticks now);
     // Returns the retry-after time for an RPC that the module or this limiter pushes back; it is at least
     // `min_retry_after`. Clients that are pushed back together get times one after the other, at a rate
     // derived from the rate at which RPCs are served.
     Ticks schedule_retry(const RpcInfo &rpc, Ticks min_retry_after, Ticks now);
-    // Records how long a command had been in the socket's receive buffer when it was read.
-    void record_read_delay(Ticks delay);
+    // Records how long a command had lain in the socket's receive buffer when it was read.
+    void record_lateness(Ticks lateness);
 
     double concurrency_limit() const { return concurrency_limit_; } // RPCs in flight
     std::size_t in_flight() const { return in_flight_; }
@@ -88,7 +89,7 @@
     double concurrency_limit_ = kMaxConcurrencyLimit;
     std::size_t in_flight_ = 0;
     std::size_t peak_in_flight_ = 0; // since the concurrency limit was last updated
-    Ticks max_read_delay_ = 0; // since the concurrency limit was last updated
+    Ticks peak_lateness_ = 0; // since the concurrency limit was last updated
     Ticks limit_updated_at_ = 0;
     double served_per_s_ = 0; // smoothed
     std::size_t served_ = 0; // since the rate was last updated
@@ -101,9 +102,10 @@
     static constexpr double kMaxConcurrencyLimit = 1e6;
     // Minimum time between two updates of the concurrency limit, and of the served rate: a few round trips.
     static constexpr Ticks kUpdateInterval = 1000;
-    static constexpr double kLimitDecrease = 0.85; // factor after an interval with late reads
-    static constexpr double kLimitIncrease =
-        0.05; // part added after a timely interval that reached the limit
+    // Factor applied after an interval with late reads.
+    static constexpr double kLimitDecrease = 0.85;
+    // Part of the limit that is added after an interval with timely reads in which the limit was reached.
+    static constexpr double kLimitIncrease = 0.05;
     static constexpr Ticks kMinRetryAfter = 200;
     static constexpr Ticks kMaxRetryAfter = 20000; // clients that are told a longer wait give up
     // Retries a second that are scheduled at least, so that the wait is bounded before anything is served.
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -266,7 +266,7 @@
     const Ticks now = time();
     rpc.wanted = {asked.tenant, asked.method,
                   mix(std::string(asked.key), static_cast<std::uint64_t>(asked.method)), asked.retry};
-    counter_->record_read_delay(std::chrono::duration_cast<Tick>(age).count());
+    counter_->record_lateness(std::chrono::duration_cast<Tick>(age).count());
     const admission::RpcDecision decision = counter_->try_admit(rpc.wanted, now);
     rpc.counted = decision.reason == admission::PushbackReason::none;
     if (rpc.counted || entrance_->observe) return true;
--- a/tests/admission/counter_test.cpp
+++ b/tests/admission/counter_test.cpp
@@ -136,8 +136,8 @@
     rules.late_aim = 200;
     RpcLimiter limiter = make_limiter(rules);
     Ticks now = 0;
-    const auto end_interval = [&](Ticks read_delay) {
-        limiter.record_read_delay(read_delay);
+    const auto end_interval = [&](Ticks lateness) {
+        limiter.record_lateness(lateness);
         now += 1000;
     };
     for (int i = 0; i < 100; ++i) assert(limiter.try_admit({0, 0}, now).reason == PushbackReason::none);
--- a/tests/admission/door_test.cpp
+++ b/tests/admission/door_test.cpp
@@ -90,7 +90,7 @@
     fixture.limiter.rpc_finished(*fixture.connections[1], true, 100000);
     // A connection whose RPC finished just now is not evicted either.
     assert(fixture.open("10.0.0.1", 100000).reason == RefusalReason::no_capacity);
-    assert(fixture.open("10.0.0.1", 100000 + ConnectionLimiter::kMinIdle).evicted != nullptr);
+    assert(fixture.open("10.0.0.1", 100000 + ConnectionLimiter::kMinIdleBeforeEviction).evicted != nullptr);
 }
 
 void unserved_connections_are_evicted_before_served_ones() {
