--- a/bench/fleet_pick.cpp
+++ b/bench/fleet_pick.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-Terms terms() {
-    Terms given{};
+DeploymentConfig terms() {
+    DeploymentConfig given{};
     given.instances = 300;
-    given.may_cut = given.second_copies = true;
+    given.may_cancel = given.second_copies = true;
     given.max_picks = 5;
-    given.cold_for = given.overload_for = 30000;
-    given.cold_share = 0.3;
+    given.warm_up_time = given.overload_window = 30000;
+    given.cold_capacity_share = 0.3;
     given.overload_multiple = 4;
-    given.methods = {{Repeat::idempotent, Group::all, 6000, 10000, 1, false}};
-    given.rollout.on_votes = 1;
-    given.rollout.window = 30000;
-    given.rollout.vote_life = 60000;
-    given.rollout.warm_keys = true;
-    given.rollout.places = given.rollout.caps = {1};
+    given.methods = {{RepeatPolicy::idempotent, TokenScope::all, 6000, 10000, 1, false}};
+    given.rollout.votes_to_advance = 1;
+    given.rollout.exposure_window = 30000;
+    given.rollout.vote_lifetime = 60000;
+    given.rollout.key_affinity = true;
+    given.rollout.stage_shares = given.rollout.stage_caps = {1};
     return given;
 }
 
@@ -33,7 +33,7 @@
 }
 
 void drain(Router &router) {
-    while (router.next().act != Act::none) {
+    while (router.next_decision().action != Action::none) {
     }
 }
 
@@ -45,29 +45,31 @@
     for (const int hosts : {10, 150, 1024}) {
         const auto router = make_router(terms(), 1);
         const auto entry = [](int i) {
-            return HostEntry{"s-" + std::to_string(i), 0, 0, 0, 1, Standing::ready, 1, 0};
+            return HostEntry{"s-" + std::to_string(i), 0, 0, 0, 1, HostStatus::ready, 1, 0};
         };
         std::vector<HostEntry> all;
         for (int i = 0; i < hosts; ++i) all.push_back(entry(i));
         Ticks now = 1000;
-        router->clock(now);
-        router->list(all, true);
-        router->news({1, 0, Phase::released, false, true, 1, 0});
+        router->set_time(now);
+        router->update_hosts(all, true);
+        router->update_rollout({1, 0, Phase::released, false, true, 1, 0});
         drain(*router);
         const auto picks_since = std::chrono::steady_clock::now();
         for (int i = 0; i < kRpcs; ++i) { // 50 a second
-            router->clock(now += 200);
+            router->set_time(now += 200);
             const std::string id = "r" + std::to_string(i);
-            router->arrived({id, 0, 0, "k" + std::to_string(i % 500), now + 20000, false});
-            for (Decision made = router->next(); made.act != Act::none; made = router->next())
-                if (made.act == Act::pick) router->ended(id, made.pick, Outcome::ok, 1000, true, {});
+            router->rpc_arrived({id, 0, 0, "k" + std::to_string(i % 500), now + 20000, false});
+            for (Decision made = router->next_decision(); made.action != Action::none;
+                 made = router->next_decision())
+                if (made.action == Action::pick)
+                    router->pick_ended(id, made.pick, Outcome::ok, 1000, true, {});
         }
         const double pick = micros(picks_since, kRpcs);
         const auto changes_since = std::chrono::steady_clock::now();
         for (int i = 0; i < kChanges; ++i) {
             HostEntry one = entry(i % hosts);
             one.started = ++now;
-            router->list({one}, false);
+            router->update_hosts({one}, false);
             drain(*router);
         }
         const double change = micros(changes_since, kChanges);
--- a/bench/release_cost.cpp
+++ b/bench/release_cost.cpp
@@ -4,7 +4,7 @@
 //
 //   build/tests/bench_release_cost [ROUNDS]
 #include "../tests/helpers.hpp"
-#include "chance.hpp"
+#include "random.hpp"
 #include "release/plan.hpp"
 
 #include <algorithm>
@@ -22,16 +22,16 @@
 struct Load {
     explicit Load(int cells)
         : cells_(cells), bench_([&] {
-              Terms given = test::terms(Repeat::idempotent);
-              given.cell_share = cells > 0 ? 0 : 1;
+              DeploymentConfig given = test::terms(RepeatPolicy::idempotent);
+              given.default_cell_share = cells > 0 ? 0 : 1;
               given.second_copies = false;
-              given.rollout.places = {0.3, 1};
+              given.rollout.stage_shares = {0.3, 1};
               return given;
           }()) {
         bench_.at(1000000);
         for (int i = 0; i < 20; ++i) bench_.host("h" + std::to_string(i), 1 + i % 2);
         bench_.news(2, 1, Phase::on_trial, 1);
-        for (int cell = 0; cell < cells; ++cell) bench_.router->allow(2, cell, 0.25);
+        for (int cell = 0; cell < cells; ++cell) bench_.router->set_cell_share(2, cell, 0.25);
     }
     // So many RPCs, a tick apart; µs for each.
     double run(int rpcs) {
@@ -41,19 +41,20 @@
             const std::string id = std::to_string(next_++);
             const int cell =
                 cells_ > 0 ? static_cast<int>(chance_.draw() % static_cast<unsigned>(cells_)) : -1;
-            bench_.router->arrived({id, 0, 0, "", bench_.clock + 5000, false, cell});
+            bench_.router->rpc_arrived({id, 0, 0, "", bench_.clock + 5000, false, cell});
             int picks = 0;
-            for (Decision made = bench_.router->next(); made.act != Act::none; made = bench_.router->next())
-                picks += made.act == Act::pick;
+            for (Decision made = bench_.router->next_decision(); made.action != Action::none;
+                 made = bench_.router->next_decision())
+                picks += made.action == Action::pick;
             for (int pick = 0; pick < picks; ++pick)
-                bench_.router->ended(id, pick, Outcome::ok, 20, true, {});
+                bench_.router->pick_ended(id, pick, Outcome::ok, 20, true, {});
         }
         return (cpu_us() - began) / rpcs;
     }
 
   private:
     int cells_, next_ = 0;
-    Pcg chance_{7};
+    Pcg32 chance_{7};
     test::Bench bench_;
 };
 
@@ -96,7 +97,7 @@
     std::cout << "plan of 200 x 500 cells, 20 builds: " << resident_mb() - before
               << " MB with what the reading left\n";
     plan.linked(true);
-    for (int build = 1; build <= 20; ++build) plan.verdict(build, Verdict::on);
+    for (int build = 1; build <= 20; ++build) plan.verdict(build, Verdict::advance);
     double began = cpu_us();
     for (int i = 0; i < 100; ++i) plan.clock(10000 + i * 1000);
     std::cout << "a beat with every build on trial: " << (cpu_us() - began) / 100 / 1000
--- a/bench/release_fairness.cpp
+++ b/bench/release_fairness.cpp
@@ -81,7 +81,7 @@
         Notice offer;
         offer.build = build;
         tell(offer);
-        plan.verdict(build.number, Verdict::on);
+        plan.verdict(build.number, Verdict::advance);
         std::vector<double> picks(cells, 0), seen(cells, 0);
         double all = 0;
         const Ticks began = now;
@@ -90,7 +90,7 @@
             now += kSecond;
             plan.clock(now);
             while (const auto said = plan.next_opinion()) {
-                if (said->cell < 0 || said->verdict != Verdict::on) continue;
+                if (said->cell < 0 || said->verdict != Verdict::advance) continue;
                 Notice word;
                 word.kind = Notice::Kind::stage;
                 word.build = build;
--- a/bench/release_replay.cpp
+++ b/bench/release_replay.cpp
@@ -4,7 +4,7 @@
 //
 //   build/tests/bench_release_replay > events.jsonl
 //   ONE/pineridge_simhost < events.jsonl > one; OTHER/pineridge_simhost < events.jsonl > other; cmp one other
-#include "chance.hpp"
+#include "random.hpp"
 #include "simhost/reader.hpp"
 
 #include <iostream>
@@ -62,7 +62,7 @@
 
 struct World {
     simhost::Reader reader;
-    Pcg chance{20261201};
+    Pcg32 chance{20261201};
     std::priority_queue<Event, std::vector<Event>, std::greater<>> due;
     int orders = 0, frame = 0;
     std::map<std::string, int> legs;
@@ -94,12 +94,12 @@
         if (cmd != "ATTEMPT") return;
         const std::string tid = action["tid"], host = action["host"];
         const int leg = legs[tid]++;
-        const bool bad = builds[host] == 3 && chance.unit() < 0.4;
-        const double takes = 0.005 + 0.05 * chance.unit() * chance.unit();
-        const char *verdict = bad                     ? "fault"
-                              : chance.unit() < 0.01  ? "no_room"
-                              : chance.unit() < 0.005 ? "cut"
-                                                      : "pass";
+        const bool bad = builds[host] == 3 && chance.uniform() < 0.4;
+        const double takes = 0.005 + 0.05 * chance.uniform() * chance.uniform();
+        const char *verdict = bad                        ? "fault"
+                              : chance.uniform() < 0.01  ? "no_room"
+                              : chance.uniform() < 0.005 ? "cut"
+                                                         : "pass";
         const bool late = takes > action["patience"].get<double>();
         at(now + takes, {{"cmd", "REPORT_BACK"},
                          {"who", "r"},
@@ -125,7 +125,7 @@
         at(30, news(3, 0, 1, 0));
         at(32, news(3, 0, 3, 0));
         double next = 0.2;
-        for (int i = 0; next < seconds; ++i, next += 0.02 * chance.unit())
+        for (int i = 0; next < seconds; ++i, next += 0.02 * chance.uniform())
             at(next, {{"cmd", "ARRIVAL"},
                       {"who", "r"},
                       {"tid", "t" + std::to_string(i)},
--- a/fuzz/follower.cpp
+++ b/fuzz/follower.cpp
@@ -14,7 +14,7 @@
     if (value.empty() || value[0] == '{') throw std::runtime_error("not a host");
     Member member{};
     member.entry.id = key;
-    member.entry.standing = value[0] == 'd' ? Standing::draining : Standing::ready;
+    member.entry.status = value[0] == 'd' ? HostStatus::draining : HostStatus::ready;
     return member;
 }
 
@@ -53,7 +53,7 @@
     view.end_read(1 << 20);
     std::size_t listed = 0;
     while (const auto listing = view.take())
-        for (const Member &member : listing->members) listed += member.entry.standing != Standing::gone;
+        for (const Member &member : listing->members) listed += member.entry.status != HostStatus::gone;
     if (listed != view.size()) std::abort();
     return 0;
 }
--- a/src/admission/connection_limiter.cpp
+++ b/src/admission/connection_limiter.cpp
@@ -194,7 +194,7 @@
     connection.address_source = connection.network_source = nullptr;
     const Ticks retry_after = std::max(kMinRetryAfter, min_retry_after);
     return {reason, nullptr,
-            retry_after + static_cast<Ticks>(static_cast<double>(retry_after) * random_.unit())};
+            retry_after + static_cast<Ticks>(static_cast<double>(retry_after) * random_.uniform())};
 }
 
 // Admitted connections stay open and are counted in the crowd that their address now belongs to. Where that
--- a/src/admission/connection_limiter.hpp
+++ b/src/admission/connection_limiter.hpp
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "admission/source_table.hpp"
-#include "chance.hpp"
+#include "random.hpp"
 #include "settings/entrance.hpp"
 
 #include <array>
@@ -113,7 +113,7 @@
     std::array<std::uint64_t, 6> refusals_{}; // by RefusalReason
     std::list<ClientConnection *> connections_; // all that are admitted
     std::uint64_t evictions_ = 0;
-    Pcg random_;
+    Pcg32 random_;
 };
 
 } // namespace pineridge::admission
--- a/src/admission/rpc_limiter.cpp
+++ b/src/admission/rpc_limiter.cpp
@@ -97,7 +97,7 @@
     const Ticks earliest = std::max({min_retry_after, kMinRetryAfter, last_retry_at_ - now});
     // Up to a quarter is added at random, so that retries do not arrive in step.
     const Ticks retry_after = std::min(
-        kMaxRetryAfter, earliest + static_cast<Ticks>(static_cast<double>(earliest) / 4 * random_.unit()));
+        kMaxRetryAfter, earliest + static_cast<Ticks>(static_cast<double>(earliest) / 4 * random_.uniform()));
     if (!recent_pushbacks_.empty()) {
         RecentPushback *const set = pushback_set(rpc.request_hash);
         RecentPushback *const oldest =
--- a/src/admission/rpc_limiter.hpp
+++ b/src/admission/rpc_limiter.hpp
@@ -7,7 +7,7 @@
 #pragma once
 
 #include "admission/token_bucket.hpp"
-#include "chance.hpp"
+#include "random.hpp"
 #include "settings/entrance.hpp"
 
 #include <array>
@@ -97,7 +97,7 @@
     Ticks last_retry_at_ = 0; // the retry time scheduled last, before jitter
     std::array<std::uint64_t, 4> pushbacks_{}; // by PushbackReason
     std::uint64_t retries_ = 0;
-    Pcg random_;
+    Pcg32 random_;
 
     static constexpr double kMaxConcurrencyLimit = 1e6;
     // Minimum time between two updates of the concurrency limit, and of the served rate: a few round trips.
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -30,21 +30,21 @@
     if (!from.is_object()) wrong("value", "not an object");
     Member member{};
     member.entry.id = text(from, "id");
-    member.entry.standing =
-        word<Standing>(from, "state", {{"in_service", Standing::ready}, {"terminating", Standing::draining}});
+    member.entry.status = word<HostStatus>(
+        from, "state", {{"in_service", HostStatus::ready}, {"terminating", HostStatus::draining}});
     member.address = read_address(text(from, "addr"), "addr");
     if (has(from, "version_no")) member.entry.build = whole(from, "version_no");
     return member;
 }
 
-const char *name_of(Standing standing) {
-    return standing == Standing::ready ? "ready" : standing == Standing::draining ? "draining" : "gone";
+const char *name_of(HostStatus standing) {
+    return standing == HostStatus::ready ? "ready" : standing == HostStatus::draining ? "draining" : "gone";
 }
 
 void print(std::ostream &out, const Record &record) {
     out << record.key << " rev " << record.rev;
     if (record.member)
-        out << " " << name_of(record.member->entry.standing) << " " << record.member->address << " build "
+        out << " " << name_of(record.member->entry.status) << " " << record.member->address << " build "
             << record.member->entry.build;
     else
         out << " unreadable: " << record.fault;
@@ -104,7 +104,7 @@
     Follow follow(asked);
     follow.told = [&](const Listing &listing) {
         for (const Member &member : listing.members)
-            std::cout << clock_now() / 10 << " " << member.entry.id << " " << name_of(member.entry.standing)
+            std::cout << clock_now() / 10 << " " << member.entry.id << " " << name_of(member.entry.status)
                       << " build " << member.entry.build << std::endl;
     };
     const View &view = follow.read(asked.wait_s);
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -101,7 +101,9 @@
 
 class Decider final : public Instance {
   public:
-    Decider(Terms given, std::uint64_t seed) : Instance(std::move(given), seed) { budget = kBudgetMost / 2; }
+    Decider(DeploymentConfig given, std::uint64_t seed) : Instance(std::move(given), seed) {
+        budget = kBudgetMost / 2;
+    }
 
     bool many() const { return terms.instances > kFewRouters; }
     void weigh_hosts() {
@@ -135,13 +137,13 @@
                                        : kLookLeast * terms.methods[method].soft_deadline;
     }
 
-    void clock(Ticks at) override {
+    void set_time(Ticks at) override {
         now = std::max(now, at);
         for (; !due.empty() && due.top().first <= now; due.pop())
             if (const auto found = rpcs.find(due.top().second); found != rpcs.end()) enqueue(found->second);
         if (armed <= now) armed = -1;
         if (now < beat_at) return;
-        if (beat_at == 0) ask_at = now + static_cast<Ticks>(ask_span() * rng.unit());
+        if (beat_at == 0) ask_at = now + static_cast<Ticks>(ask_span() * rng.uniform());
         beat_at = now + kBeat;
         pools_due = true;
         count_traffic(kTrafficRate, kComeAgain);
@@ -158,8 +160,9 @@
         if ((paced > 0 || !warm_served.empty()) && warm > 0)
             pace += (warm_served.size() / warm - pace) * std::max(kPaceRate, 1.0 / ++paced);
         lately.traffic = std::max(traffic, lately.traffic * kPeakFade);
-        const Count served = count_earlier();
-        if (served.picks >= kBackPairs && !(watching() && released_at >= 0)) earlier_fails = served.share();
+        const PickCounts served = count_earlier();
+        if (served.picks >= kBackPairs && !(watching() && released_at >= 0))
+            earlier_fails = served.failure_share();
         best_rate = std::max(best_rate * kFade, best_rate + (answered.size() - best_rate) * kRateRise);
         wait = best_rate > 0 && now > born + kNewcomer ? pending / best_rate * 10000 : 0;
         bend_limit();
@@ -185,14 +188,14 @@
     // A client that gave it little time tells nothing of host or build. Stops hasty callers from sending
     // good builds back and good hosts to rest; a stalled host shows a little later.
     bool hurried(const Rpc &rpc, const Pick &pick) const {
-        return pick.outcome == Outcome::too_slow && pick.took < method_of(rpc).soft_deadline;
+        return pick.outcome == Outcome::timed_out && pick.took < method_of(rpc).soft_deadline;
     }
 
     // In a jam time-outs tell of the load; where connections to earlier hosts break too, breaks tell of the
     // network. Only then are they left out. Stops either from blinding the gate and resting sound hosts.
     bool speaks_against(const Rpc &rpc, const Pick &pick) const {
-        const bool jam = limit > 0 && pick.outcome == Outcome::too_slow;
-        const bool torn = breaks > kTorn && pick.outcome == Outcome::cut;
+        const bool jam = limit > 0 && pick.outcome == Outcome::timed_out;
+        const bool torn = breaks > kTorn && pick.outcome == Outcome::connection_lost;
         return diverges(pick.outcome) && !jam && !torn && !hurried(rpc, pick);
     }
 
@@ -200,19 +203,19 @@
         Host &host = hosts[pick.host];
         const int method = rpc.from.method;
         const bool served = pick.outcome == Outcome::ok, failed = speaks_against(rpc, pick);
-        const bool refused = pick.outcome == Outcome::no_route || pick.outcome == Outcome::no_room;
+        const bool refused = pick.outcome == Outcome::connect_failed || pick.outcome == Outcome::host_busy;
         if (failed || refused) ++host.misses, host.missed_at = now;
-        const bool unmet = pick.outcome == Outcome::no_route;
+        const bool unmet = pick.outcome == Outcome::connect_failed;
         if (unmet || (pick.fresh && served)) barred += (unmet - barred) * kBarredRate;
-        host.linked_until = unmet || pick.outcome == Outcome::cut ? -1 : now + terms.keepalive;
+        host.linked_until = unmet || pick.outcome == Outcome::connection_lost ? -1 : now + terms.keepalive;
         if (served) host.misses = 0;
-        if (pick.outcome != Outcome::undone && pick.outcome != Outcome::too_slow) host.quiet_since = now;
+        if (pick.outcome != Outcome::cancelled && pick.outcome != Outcome::timed_out) host.quiet_since = now;
         if (served || failed) {
             host.heard = 1 + faded(host.heard, std::exchange(host.heard_at, now));
             host.fails = fails(host) + (failed - fails(host)) * kHostRate;
             host.fails_at = now;
         }
-        const bool timed = served || (pick.outcome == Outcome::too_slow && !hurried(rpc, pick));
+        const bool timed = served || (pick.outcome == Outcome::timed_out && !hurried(rpc, pick));
         const double excess = excess_of(pick, method, size_of(rpc));
         const bool against = timed && usual_count[method] > 0; // there is a usual latency to set it against
         if (against) host.excess += (excess - host.excess) * kHostRate;
@@ -220,7 +223,7 @@
         if (timed) note_lateness(rpc, ratio, kLateSpan, many() ? kSparse : kHostRate);
         if (served && warmth(host) >= 1) warm_served.push_back(now);
         of(pick.build).proven[method] += served;
-        of(pick.build).tried.add(1, proves_unrun(pick.outcome));
+        of(pick.build).tried.add(1, proves_not_executed(pick.outcome));
         if (pick.on_trial) {
             if (!pick.copy && (served || failed)) judge(rpc, pick, failed, excess);
             return;
@@ -230,16 +233,17 @@
             usual[method] += raw * std::max(1.0 / ++usual_count[method], 0.004);
             if (usual_count[method] > 20) kind_excess[host.entry.kind] += excess * 0.01;
         }
-        if (served || diverges(pick.outcome)) breaks += ((pick.outcome == Outcome::cut) - breaks) * kTornRate;
+        if (served || diverges(pick.outcome))
+            breaks += ((pick.outcome == Outcome::connection_lost) - breaks) * kTornRate;
         if (!served && !failed) return;
         earlier.push_back({now, method, pick.host, failed, against, excess});
         if (pick.build == known.build && watching())
-            judge(rpc, pick, failed && pick.outcome != Outcome::too_slow, excess);
+            judge(rpc, pick, failed && pick.outcome != Outcome::timed_out, excess);
     }
 
     void judge(const Rpc &rpc, const Pick &pick, bool failed, double excess) {
         // A cold host's slowness; and of many routers one waits in vain now and then, whatever the build.
-        if (failed && (!pick.aged || many()) && pick.outcome == Outcome::too_slow) return;
+        if (failed && (!pick.aged || many()) && pick.outcome == Outcome::timed_out) return;
         std::deque<Sample> &samples = of(pick.build).samples;
         const bool timed = pick.aged && usual_count[rpc.from.method] > 0;
         samples.push_back({now, rpc.from.method, pick.host, failed, timed, excess});
@@ -260,8 +264,8 @@
         judge(rpc, *copy, copy->outcome != Outcome::ok, excess_of(*copy, rpc.from.method, size_of(rpc)));
     }
 
-    void ended(const std::string &id, int number, Outcome outcome, Ticks took, bool complete,
-               const std::vector<double> &report) override {
+    void pick_ended(const std::string &id, int number, Outcome outcome, Ticks took, bool complete,
+                    const std::vector<double> &report) override {
         Rpc *found = close_pick(id, number, outcome, took);
         if (!found) return;
         Rpc &rpc = *found;
@@ -279,19 +283,20 @@
     // Rule 2: may this RPC have a pick at this host, after those it had?
     bool may_repeat(const Rpc &rpc, const Host &target) const {
         const Method &method = method_of(rpc);
-        return method.repeat == Repeat::idempotent ||
+        return method.repeat_policy == RepeatPolicy::idempotent ||
                std::all_of(rpc.picks.begin(), rpc.picks.end(), [&](const Pick &pick) {
-                   if (!pick.open && proves_unrun(pick.outcome)) return true;
-                   if (method.repeat == Repeat::non_idempotent) return false;
-                   return now < pick.sent + method.window &&
-                          same_group(method.group, hosts[pick.host].entry, target.entry);
+                   if (!pick.open && proves_not_executed(pick.outcome)) return true;
+                   if (method.repeat_policy == RepeatPolicy::non_idempotent) return false;
+                   return now < pick.sent + method.token_window &&
+                          same_group(method.token_scope, hosts[pick.host].entry, target.entry);
                });
     }
 
     bool may_push_back(const Rpc &rpc) const {
         const Method &method = method_of(rpc);
-        if (method.repeat == Repeat::idempotent) return true;
-        if (method.repeat == Repeat::tokened && method.group == Group::all) return true;
+        if (method.repeat_policy == RepeatPolicy::idempotent) return true;
+        if (method.repeat_policy == RepeatPolicy::tokened && method.token_scope == TokenScope::all)
+            return true;
         return unrun(rpc);
     }
 
@@ -299,15 +304,16 @@
     bool room_on_trial(int number, int method) {
         const int stage = number == known.build ? known.stage : 0;
         const bool guarded = stage < terms.rollout.guarded_stages;
-        if (cap(number) <= 0 || (guarded && terms.methods[method].repeat != Repeat::idempotent)) return false;
+        if (cap(number) <= 0 || (guarded && terms.methods[method].repeat_policy != RepeatPolicy::idempotent))
+            return false;
         const auto [took, sent] = exposure(number, method);
-        return sent + 1 <= terms.rollout.free_picks + cap(number) * took;
+        return sent + 1 <= terms.rollout.picks_above_cap + cap(number) * took;
     }
 
     // Rule 5, by cell: room for one more pick under the release plan's share of this cell's RPCs. It narrows
     // the cap above and never widens it. Stops a customer or a zone from carrying more than its stage.
     bool room_in_cell(const Rpc &rpc, int number) {
-        if (terms.cell_share >= 1) return true;
+        if (terms.default_cell_share >= 1) return true;
         forget_flows();
         const int cell = rpc.from.cell;
         if (room_seen.build == number && room_seen.cell == cell) return room_seen.held;
@@ -323,8 +329,8 @@
     bool room_in_cold(Host &host) const {
         const double warm = warmth(host);
         if (warm >= 1) return true;
-        forget(host.pushed, std::max(now - terms.overload_for, host.entry.started));
-        const double part = warm * pace * rating(host) * terms.overload_for / 10000.0;
+        forget(host.pushed, std::max(now - terms.overload_window, host.entry.started));
+        const double part = warm * pace * rating(host) * terms.overload_window / 10000.0;
         const double allowed = kColdSafety * terms.overload_multiple * part;
         const auto sent = static_cast<double>(host.pushed.size());
         return sent + 1 <= std::max(kColdFloor / terms.instances, allowed) + host.dice;
@@ -334,7 +340,7 @@
     // told to go back: also one that no news has named yet, and one released while the list still shows lower
     // ones.
     bool keys_allow(const Rpc &rpc, int number) const {
-        if (!terms.rollout.keys_stay || rpc.from.key.empty()) return true;
+        if (!terms.rollout.sticky_keys || rpc.from.key.empty()) return true;
         return !held_by_newer(rpc.from.key, number, rpc.from.cell);
     }
 
@@ -380,13 +386,13 @@
         // A host that missed picks in a row is left for others, longer each time. Stops fast failures from
         // drawing picks, dead or crowded hosts from using up an RPC's; keeps a router to hosts that know it.
         cost *= 1 + missing(host);
-        cost /= std::pow(sound, method_of(rpc).repeat == Repeat::idempotent ? 2 : 4);
+        cost /= std::pow(sound, method_of(rpc).repeat_policy == RepeatPolicy::idempotent ? 2 : 4);
         if (silent(host, rpc.from.method)) cost *= 50;
         // Where new connections are hard to have, those that stand carry the picks. Stops a fleet from using
         // up what few its hosts accept, and RPCs from waiting for handshakes that time out.
         if (many() && host.linked_until < now) cost *= 1 + kUnlinked * barred;
         if (watching() && host.entry.build < known.build) cost *= kOlderCost;
-        return cost * (0.9 + 0.2 * rng.unit());
+        return cost * (0.9 + 0.2 * rng.uniform());
     }
 
     // A router with little traffic keeps to as many hosts as it hears of often, the first in an order of its
@@ -402,12 +408,13 @@
     // The host that likely met the key of late. Where routers are many it is one of the few that this router
     // hears of: one for all of them, each seeing little of its load, would be swamped.
     int favourite_of(const Rpc &rpc, const Pool &pool) const {
-        if (!terms.rollout.warm_keys || rpc.from.key.empty()) return -1;
-        if (!many()) return pool.keeper(mix(rpc.from.key, 3));
+        if (!terms.rollout.key_affinity || rpc.from.key.empty()) return -1;
+        if (!many()) return pool.keeper(salted_hash(rpc.from.key, 3));
         int found = -1;
         std::uint64_t most = 0;
         for (std::size_t i = 0; i < reach(pool); ++i) {
-            const std::uint64_t draw = mix(rpc.from.key, mix(hosts[pool.hosts[i]].entry.id, 3));
+            const std::uint64_t draw =
+                salted_hash(rpc.from.key, salted_hash(hosts[pool.hosts[i]].entry.id, 3));
             if (found < 0 || draw > most) found = pool.hosts[i], most = draw;
         }
         return found;
@@ -434,7 +441,7 @@
         const std::size_t sample = std::max(kLeastDrawn, pool.hosts.size() * 2 / terms.instances);
         if (sample < pool.hosts.size()) {
             if (favourite >= 0) consider(favourite);
-            for (std::size_t i = 0; i < sample; ++i) consider(pool.drawn(rng.unit(), reach(pool)));
+            for (std::size_t i = 0; i < sample; ++i) consider(pool.drawn(rng.uniform(), reach(pool)));
         }
         if (best < 0 || hosts[best].misses > 0)
             for (const int i : pool.hosts) consider(i);
@@ -444,29 +451,29 @@
     // --- the mechanism ---
     // The trial's part of the capacity, its cold hosts counted for what they can do by now.
     double trial_part() const {
-        const double places = sound[0] + (terms.rollout.replaces ? sound[1] : 0);
+        const double places = sound[0] + (terms.rollout.replaces_hosts ? sound[1] : 0);
         return places > 0 ? std::min(1.0, sound[1] / places) : 1;
     }
 
     // The trial's share of a method's real RPCs: in step with its places, a stage apart by repeat.
     double trial_share(int method) {
         Build &build = of(known.build);
-        int first = 1 + static_cast<int>(terms.methods[method].repeat);
+        int first = 1 + static_cast<int>(terms.methods[method].repeat_policy);
         if (!terms.second_copies && first == 1) first = 0;
         // Where stages are few each has some of the last. Stops a build that fails one method alone from
         // being released before anyone has met that.
-        first = std::min(first, static_cast<int>(terms.rollout.places.size()) - 1);
+        first = std::min(first, static_cast<int>(terms.rollout.stage_shares.size()) - 1);
         double share = 0;
         if (known.stage >= first) {
-            const auto stage = std::min<std::size_t>(known.stage, terms.rollout.places.size() - 1);
-            share = std::min(terms.rollout.places[stage], trial_part());
+            const auto stage = std::min<std::size_t>(known.stage, terms.rollout.stage_shares.size() - 1);
+            share = std::min(terms.rollout.stage_shares[stage], trial_part());
             // A method with an effect starts at a trickle: a build that fails it alone shows in no pair.
             const double proven =
-                build.proven[method] + (method < int(shown.size()) ? shown[method].ok() : 0);
+                build.proven[method] + (method < int(shown.size()) ? shown[method].succeeded() : 0);
             if (first > 1) share *= std::min(1.0, (proven + 3) / 15.0);
         }
         build.range[method] = std::max(build.range[method], share);
-        return terms.rollout.keys_stay ? build.range[method] : share;
+        return terms.rollout.sticky_keys ? build.range[method] : share;
     }
 
     Decision send(Rpc &rpc, int target, bool copy) {
@@ -474,20 +481,20 @@
         const bool trial = on_trial(host.entry.build);
         const Method &method = method_of(rpc);
         const bool aged = host.entry.started <= 0 || now - host.entry.started > kColdSkip;
-        budget -= !rpc.picks.empty() && rpc.picks.back().outcome != Outcome::no_route;
+        budget -= !rpc.picks.empty() && rpc.picks.back().outcome != Outcome::connect_failed;
         rpc.picks.push_back({target, host.entry.build, now, trial, copy, aged, host.linked_until < now});
         keep_key(rpc, rpc.picks.back());
         if (host.open++ == 0) host.quiet_since = now;
         ++open;
         host.pushed.push_back(now);
-        forget(host.pushed, now - terms.overload_for);
+        forget(host.pushed, now - terms.overload_window);
         if (trial) of(host.entry.build).picked[rpc.from.method].push_back(now);
-        if (terms.cell_share < 1) note_flow(rpc.from.cell, host.entry.build);
+        if (terms.default_cell_share < 1) note_flow(rpc.from.cell, host.entry.build);
         rpc.look_at = now + look_wait(rpc.from.method);
-        if (method.repeat != Repeat::non_idempotent) due.emplace(rpc.look_at, rpc.from.id);
+        if (method.repeat_policy != RepeatPolicy::non_idempotent) due.emplace(rpc.look_at, rpc.from.id);
         const Ticks left = rpc.from.deadline - now;
         const Ticks span = std::max<Ticks>(1, copy ? std::min(left, method.soft_deadline * 2) : left);
-        return {.act = Act::pick, .rpc = rpc.from.id, .host = host.entry.id, .span = span};
+        return {.action = Action::pick, .rpc = rpc.from.id, .host = host.entry.id, .duration = span};
     }
 
     Ticks look_wait(int method) const {
@@ -498,9 +505,11 @@
     Decision finish(Rpc &rpc, bool push_back) {
         settle(rpc);
         ++turned_away;
-        if (!push_back || !may_push_back(rpc)) return {.act = Act::abort, .rpc = rpc.from.id};
-        const auto pause = static_cast<Ticks>(kPause * (1 + rng.unit()));
-        return {.act = Act::push_back, .rpc = rpc.from.id, .span = std::min(terms.max_pause, pause)};
+        if (!push_back || !may_push_back(rpc)) return {.action = Action::abort, .rpc = rpc.from.id};
+        const auto pause = static_cast<Ticks>(kPause * (1 + rng.uniform()));
+        return {.action = Action::push_back,
+                .rpc = rpc.from.id,
+                .duration = std::min(terms.max_retry_after, pause)};
     }
 
     double worth_part(const Rpc &rpc) const {
@@ -510,14 +519,14 @@
         return part * (rpc.over_share ? kOverShare : 1);
     }
 
-    bool crowded(double part) const { return open >= kFirstRoom * terms.room * part; }
+    bool crowded(double part) const { return open >= kFirstRoom * terms.max_open_picks * part; }
 
     // A method that comes past its soft deadline at every host while others do not is worth next to nothing,
     // and holds the place of those: most of it is pushed back, the rest tells when that is over.
     bool past_hope(const Rpc &rpc) {
         const auto &[late, seen] = lateness[rpc.from.method];
         const double least = least_late(terms.methods.size(), now - kLateSpan * 4);
-        return late > 1 && seen > now - kLateSpan * 4 && least < late * kCalmPart && rng.unit() > kAskPart;
+        return late > 1 && seen > now - kLateSpan * 4 && least < late * kCalmPart && rng.uniform() > kAskPart;
     }
 
     // Pushback, least utility for its work first and tenants past their quota before all: under the limit,
@@ -525,8 +534,9 @@
     // at best. Stops jams before they show in answers; may push back at the head of a steep burst.
     bool shed(const Rpc &rpc) {
         const double part = worth_part(rpc), late_by = wait / method_of(rpc).soft_deadline / part;
-        return crowded(part) || past_hope(rpc) || (limit > 0 && open + rng.unit() * many() >= limit * part) ||
-               rng.unit() < (late_by - kHopeful) / (kHopeless - kHopeful);
+        return crowded(part) || past_hope(rpc) ||
+               (limit > 0 && open + rng.uniform() * many() >= limit * part) ||
+               rng.uniform() < (late_by - kHopeful) / (kHopeless - kHopeful);
     }
 
     // Is there room for picks beyond the first? In a crowd they only take it from others.
@@ -534,7 +544,7 @@
 
     double usefulness(std::size_t method) const {
         const double utility = terms.methods[method].utility;
-        return terms.utility_by_work ? utility : utility / usual_latency(static_cast<int>(method));
+        return terms.utility_per_work ? utility : utility / usual_latency(static_cast<int>(method));
     }
 
     Decision advance(Rpc &rpc) {
@@ -565,22 +575,23 @@
         // sent, where few routers know the load. Stops a release that fails late from starving its heir.
         const bool jam = drawn && !many() && limit > 0 && pools[0].load > pools[1].load * kFuller;
         if (!(jam && !crowded(1) && choose(rpc, true) >= 0) && shed(rpc)) return finish(rpc, true);
-        const bool copyable = trial_runs() && terms.second_copies && method.repeat == Repeat::idempotent &&
-                              !rpc.from.retry && spare(rpc) && !method.stream;
+        const bool copyable = trial_runs() && terms.second_copies &&
+                              method.repeat_policy == RepeatPolicy::idempotent && !rpc.from.retry &&
+                              spare(rpc) && !method.streams_answer;
         const int newer = drawn || copyable ? choose(rpc, true) : -1;
         int target = choose(rpc, false);
         // The draw yields where the trial's hosts are clearly fuller. Stops the hand-over from jamming them
         // while others have room: cold or lost hosts, popular keys, a slow build. Fewer picks judge it.
         const bool fuller = newer >= 0 && target >= 0 && pools[1].load > pools[0].load * kFuller;
         if (drawn && newer >= 0) yielding += (fuller - yielding) * 0.03;
-        if (drawn && newer >= 0 && (!fuller || terms.rollout.keys_stay)) target = newer;
+        if (drawn && newer >= 0 && (!fuller || terms.rollout.sticky_keys)) target = newer;
         // Where no earlier host may take it, the trial does as far as its cap allows, whatever the stage.
         if (target < 0) target = choose(rpc, true);
         if (target < 0) return finish(rpc, true);
         // A copy is drawn by what the trial's hosts can bear beside their real traffic. Stops copies, of
         // retries too, from swamping them, cold ones above all, which would read as divergence.
         const double bearable = trial_part() * (known.stage > 0 ? kCopyBeside : 1);
-        rpc.want_copy = copyable && newer >= 0 && !fuller && target != newer && rng.unit() < bearable;
+        rpc.want_copy = copyable && newer >= 0 && !fuller && target != newer && rng.uniform() < bearable;
         return send(rpc, target, false);
     }
 
@@ -589,29 +600,34 @@
     // their soft deadline; adds load when many hosts stall at once, which the budget bounds.
     Decision look_elsewhere(Rpc &rpc) {
         const Method &method = method_of(rpc);
-        const bool beside = terms.second_copies && method.repeat == Repeat::idempotent;
-        if (method.repeat == Repeat::non_idempotent || method.stream || now < rpc.look_at) return {};
+        const bool beside = terms.second_copies && method.repeat_policy == RepeatPolicy::idempotent;
+        if (method.repeat_policy == RepeatPolicy::non_idempotent || method.streams_answer ||
+            now < rpc.look_at)
+            return {};
         const auto at =
             std::find_if(rpc.picks.begin(), rpc.picks.end(), [](auto &pick) { return pick.open; });
         const Host &host = hosts[at->host];
         const bool slow = silent(host, rpc.from.method) || host.excess - lately.fleet > std::log(kSlowAil);
         const int target = slow && !at->cut && budget >= 1 && spare(rpc) ? choose(rpc, false) : -1;
-        if (target < 0 || used(rpc, target) || (!beside && !terms.may_cut)) {
+        if (target < 0 || used(rpc, target) || (!beside && !terms.may_cancel)) {
             rpc.look_at = now + look_wait(rpc.from.method) / 2;
             due.emplace(rpc.look_at, rpc.from.id);
             return {};
         }
         if (beside) return send(rpc, target, false);
         at->cut = true;
-        return {.act = Act::cut, .rpc = rpc.from.id, .pick = static_cast<int>(at - rpc.picks.begin())};
+        return {
+            .action = Action::cancel, .rpc = rpc.from.id, .pick = static_cast<int>(at - rpc.picks.begin())};
     }
 
     // Losers of a finished RPC are cut; a copy runs on, as its end is evidence, unless there is no room.
     Decision cut_rest(Rpc &rpc) {
         for (Pick &pick : rpc.picks) {
-            if (!pick.open || pick.cut || (pick.copy && limit <= 0) || !terms.may_cut) continue;
+            if (!pick.open || pick.cut || (pick.copy && limit <= 0) || !terms.may_cancel) continue;
             pick.cut = true;
-            return {.act = Act::cut, .rpc = rpc.from.id, .pick = static_cast<int>(&pick - rpc.picks.data())};
+            return {.action = Action::cancel,
+                    .rpc = rpc.from.id,
+                    .pick = static_cast<int>(&pick - rpc.picks.data())};
         }
         return {};
     }
@@ -630,7 +646,7 @@
     }
 
     double slow_bar(double hosts_timed) const {
-        return std::log(kSlowRatio * (terms.rollout.warm_keys ? kColdKeys : 1) *
+        return std::log(kSlowRatio * (terms.rollout.key_affinity ? kColdKeys : 1) *
                         (1 + kFewHosts / hosts_timed));
     }
 
@@ -640,10 +656,10 @@
         Evidence told = compare_all(pool(), kBackPairs, kBeat, now - kEvidenceAge / 2);
         // Where the trial carries most the few picks of the earlier hosts, which stand idle beside it by
         // then, are no measure of its latency.
-        const bool witnessed = terms.rollout.replaces || trial_part() <= kMinority;
+        const bool witnessed = terms.rollout.replaces_hosts || trial_part() <= kMinority;
         if (told.timed < kBackPairs || limit > 0 || !witnessed) told.slow = 0;
         // Tallies count picks that no host took as failures; own picks tell how many those are.
-        if (!tallies.empty()) told.usual += of(known.build).tried.share();
+        if (!tallies.empty()) told.usual += of(known.build).tried.failure_share();
         const double chance = kSlowChance / std::sqrt(std::max(1.0, told.timed));
         told.slow_bar = slow_bar(hosts_there()) + chance;
         return told;
@@ -651,21 +667,23 @@
 
     // Each tells its word to a few, drawn for all alike and anew each round, and these tell the sum to all.
     // Stops words from costing the square of the routers, or from coming a stage late.
-    Word pool() { return pooled(now - 5 * kTellRound / 2, own_word(now - kEvidenceAge)); }
+    TrialSummary pool() { return pooled(now - 5 * kTellRound / 2, own_word(now - kEvidenceAge)); }
 
     Decision tell() {
-        if (!terms.peers || terms.ordinal < 0 || !(trial_runs() || fresh())) return {};
+        if (!terms.exchanges_summaries || terms.ordinal < 0 || !(trial_runs() || fresh())) return {};
         const Ticks round = (now - stage_at) / kTellRound;
         if (round != std::exchange(tell_round, round)) {
             tell_left = kCollectors;
-            tell_at = now + static_cast<Ticks>(kTellRound / 2 * rng.unit());
+            tell_at = now + static_cast<Ticks>(kTellRound / 2 * rng.uniform());
             for (int which = 0; which < kCollectors; ++which)
                 if (drawn_peer((round - 1) * kCollectors + which) == terms.ordinal)
-                    return {.act = Act::tell, .text = pool().pack()};
+                    return {.action = Action::send_summary, .text = pool().encode()};
         }
         while (now >= tell_at && tell_left > 0)
             if (const int peer = drawn_peer(round * kCollectors + --tell_left); peer != terms.ordinal)
-                return {.act = Act::tell, .text = own_word(now - kEvidenceAge).pack(), .peer = peer};
+                return {.action = Action::send_summary,
+                        .text = own_word(now - kEvidenceAge).encode(),
+                        .peer = peer};
         return {};
     }
 
@@ -717,7 +735,7 @@
     // The bar falls as the sample grows, and rises where the earlier build fails: trouble strikes hosts, few
     // unevenly. Stops a build that fails a tenth of its picks from passing under the first sample's bar.
     bool fails_much(const Evidence &seen, double part = 1, double turned_away = 0) const {
-        const auto much = [&](const Count &count, int least, double share) {
+        const auto much = [&](const PickCounts &count, int least, double share) {
             const double picks = std::max<double>(least, count.picks);
             const double uneven = kUneven * std::sqrt(seen.usual * (1 / hosts_there() + 1 / picks));
             const double unseen = seen.alone * kHostsFail;
@@ -728,7 +746,7 @@
         };
         return much(seen.all, kBackPairs, kBackShare) ||
                std::any_of(seen.by_method.begin(), seen.by_method.end(),
-                           [&](const Count &count) { return much(count, kMethodPairs, kMethodShare); });
+                           [&](const PickCounts &count) { return much(count, kMethodPairs, kMethodShare); });
     }
 
     // Tallies count picks that full hosts turned away as failures, and a router of many meets too few of
@@ -737,7 +755,7 @@
     // one router of all has met them.
     // Not where several must agree: each of them would have to meet some.
     bool borne_out(const Evidence &seen) const {
-        const bool one_decides = terms.rollout.advance == Advance::any_vote;
+        const bool one_decides = terms.rollout.advance_policy == AdvancePolicy::any_vote;
         return tallies.empty() || !many() || !one_decides || seen.all.failed >= kOwnFailures;
     }
 
@@ -777,7 +795,7 @@
         // A lone host's failures may be its own: the trial waits, then goes on, as more hosts tell.
         const bool lone = trial_runs() && pools[1].hosts.size() == 1;
         const bool waited = now - stage_at > kLoneFor;
-        if (lone && waited && terms.rollout.advance != Advance::timer) return Verdict::on;
+        if (lone && waited && terms.rollout.advance_policy != AdvancePolicy::timer) return Verdict::advance;
         // A neighbour, a failing or silent host under the trial is not the build.
         const bool theirs =
             seen.by_host.size() > 1 && seen.on_worst_third() > kConcentrated * seen.all.failed;
@@ -792,8 +810,9 @@
         const bool told_slow = enough && told.slow > told.slow_bar;
         if (lasts(slow, slow_since, kSlowFor) && !lone) return back("latency", seen, std::exp(seen.slow));
         if (told_slow && !lone) return back("tallied latency", told, std::exp(told.slow));
-        if (terms.rollout.advance == Advance::timer) {
-            const bool doubtful = seen.all.picks >= kHoldPairs && seen.all.share() > kHoldShare + seen.usual;
+        if (terms.rollout.advance_policy == AdvancePolicy::timer) {
+            const bool doubtful =
+                seen.all.picks >= kHoldPairs && seen.all.failure_share() > kHoldShare + seen.usual;
             return doubtful || slow || suspect_since >= 0 ? Verdict::hold : Verdict::none;
         }
         // A trial that others must spare load is not proven for more: slow builds, and those bad when busy.
@@ -811,27 +830,31 @@
         if (doubt || (told.all.picks < needed && !waited)) return Verdict::none;
         const double borne = kOnDivergences + (seen.usual + kOnShare) * seen.all.picks;
         if (seen.all.failed > borne) return Verdict::none;
-        if (seen.stage.picks >= kOnPairs) return Verdict::on;
-        return seen.stage.failed <= 0 && now - stage_at >= kOnAnyway ? Verdict::on : Verdict::none;
+        if (seen.stage.picks >= kOnPairs) return Verdict::advance;
+        return seen.stage.failed <= 0 && now - stage_at >= kOnAnyway ? Verdict::advance : Verdict::none;
     }
 
     Verdict back(const std::string &cause, const Evidence &seen, double figure) {
-        const Count &all = seen.all;
-        if (voted != Verdict::back)
+        const PickCounts &all = seen.all;
+        if (voted != Verdict::roll_back)
             log("back for " + cause + ": %.0f of %.0f, %.2f", all.failed, all.picks, figure);
-        return Verdict::back;
+        return Verdict::roll_back;
     }
 
-    bool in_last_stage() const { return known.stage + 1 >= static_cast<int>(terms.rollout.places.size()); }
+    bool in_last_stage() const {
+        return known.stage + 1 >= static_cast<int>(terms.rollout.stage_shares.size());
+    }
     // How far the word of one goes for all: 0 where all must agree.
-    double alone() const { return 1 - std::min(1.0, double(terms.rollout.on_votes) / terms.instances); }
+    double alone() const {
+        return 1 - std::min(1.0, double(terms.rollout.votes_to_advance) / terms.instances);
+    }
 
     // Stops a build that turns bad with its hosts' age or load from being released by the one router that saw
     // it clean for a moment, while the others hold: where one vote does it, it is cast once it has lasted.
     Verdict once_proven(Verdict judged) {
         const Ticks span = static_cast<Ticks>(kProvenFor * alone()) - 1;
-        const bool proven = lasts(judged == Verdict::on, proven_since, span);
-        return judged == Verdict::on && in_last_stage() && !proven ? Verdict::none : judged;
+        const bool proven = lasts(judged == Verdict::advance, proven_since, span);
+        return judged == Verdict::advance && in_last_stage() && !proven ? Verdict::none : judged;
     }
 
     // The platform takes so many votes a second of all routers together. Stops a fleet from using them up for
@@ -840,10 +863,10 @@
         const double rate = terms.rollout.votes_per_s;
         const double turn = rate > 0 ? terms.instances / rate * 10000 : 0; // until each has had one
         const bool scarce = turn > kVoteRenewal;
-        const Ticks life = terms.rollout.vote_life;
+        const Ticks life = terms.rollout.vote_lifetime;
         const Ticks stands = scarce ? life * 9 / 10 : std::min(kVoteRenewal, life * 2 / 3);
         if (vote_counts) return voted_at + stands;
-        const double pause = voted == Verdict::back ? 0 : turn * kVoteTries * vote_draw;
+        const double pause = voted == Verdict::roll_back ? 0 : turn * kVoteTries * vote_draw;
         return voted_at + std::max<Ticks>(kVoteRetry, static_cast<Ticks>(pause));
     }
 
@@ -851,15 +874,15 @@
         if (!(trial_runs() || watching()) || now < judge_at) return {};
         judge_at = now + kBeat;
         // A vote back stands for its time: one that wavers with the last few samples may never be counted.
-        const bool stands_back = voted == Verdict::back && now < voted_at + kVoteRenewal;
+        const bool stands_back = voted == Verdict::roll_back && now < voted_at + kVoteRenewal;
         const Verdict verdict = stands_back ? voted : once_proven(judgement());
         if (verdict == Verdict::none && voted == Verdict::none) return {};
         if (verdict == voted && now < vote_again_at()) return {};
         voted = verdict;
         voted_at = now;
-        vote_draw = 0.5 + rng.unit();
+        vote_draw = 0.5 + rng.uniform();
         vote_counts = false;
-        return {.act = Act::vote, .build = known.build, .stage = known.stage, .verdict = verdict};
+        return {.action = Action::vote, .build = known.build, .stage = known.stage, .verdict = verdict};
     }
 
     // Discovery works through the calls of all routers one at a time, also those that have been given up. The
@@ -870,50 +893,50 @@
     // After a first failure the next call leaves in time to renew the lease. Later ones are spread as widely
     // as the line needs, and ever wider: a crowded discovery works through calls that nobody waits for any
     // more, and a fleet that goes on asking keeps it so. Costs routers without a list some seconds more.
-    void list_failed(Ticks lease_left) override {
+    void host_list_failed(Ticks lease_left) override {
         const int repeated = failed_calls++;
         const Ticks in_time = lease_left - kCallTakes;
         if (repeated == 0 && in_time > kAskAgain) {
             const Ticks span = std::min(ask_span(), in_time - kAskAgain);
-            ask_at = now + kAskAgain + static_cast<Ticks>(static_cast<double>(span) * rng.unit());
+            ask_at = now + kAskAgain + static_cast<Ticks>(static_cast<double>(span) * rng.uniform());
             return;
         }
         const double growth = std::min(kAskGrowthMost, std::pow(kAskGrowth, std::max(0, repeated - 1)));
         const double least = growth * static_cast<double>(std::max(kAskAgain, ask_span()));
-        ask_at = now + static_cast<Ticks>(least + static_cast<double>(ask_span()) * rng.unit());
+        ask_at = now + static_cast<Ticks>(least + static_cast<double>(ask_span()) * rng.uniform());
     }
 
-    Decision next() override {
+    Decision next_decision() override {
         weigh_hosts();
         budget = std::min(kBudgetMost, budget + kBudgetShare * std::exchange(earned, 0));
         for (; !todo.empty(); todo.pop_front()) {
             const auto found = rpcs.find(todo.front());
             if (found == rpcs.end()) continue;
             Rpc &rpc = found->second;
-            if (Decision made = advance(rpc); made.act != Act::none) return made;
+            if (Decision made = advance(rpc); made.action != Action::none) return made;
             rpc.queued = false;
             if (rpc.done && open_picks(rpc) == 0) rpcs.erase(found);
         }
-        if (Decision made = vote(); made.act != Act::none) return made;
-        if (Decision made = tell(); made.act != Act::none) return made;
-        if (terms.list_by_asking && ask_at >= 0 && ask_at <= now) {
+        if (Decision made = vote(); made.action != Action::none) return made;
+        if (Decision made = tell(); made.action != Action::none) return made;
+        if (terms.requests_host_list && ask_at >= 0 && ask_at <= now) {
             ask_at = -1;
-            return {.act = Act::watch_list};
+            return {.action = Action::request_host_list};
         }
         if (!lines.empty()) {
-            Decision made{.act = Act::log, .text = std::move(lines.front())};
+            Decision made{.action = Action::log, .text = std::move(lines.front())};
             lines.pop_front();
             return made;
         }
         const Ticks wanted = std::max(now + 1, due.empty() ? beat_at : std::min(beat_at, due.top().first));
         if (armed >= 0 && armed <= wanted) return {};
         armed = wanted;
-        return {.act = Act::wake, .span = armed};
+        return {.action = Action::wake, .duration = armed};
     }
 };
 } // namespace
 
-std::unique_ptr<Router> make_router(Terms terms, std::uint64_t seed) {
+std::unique_ptr<Router> make_router(DeploymentConfig terms, std::uint64_t seed) {
     return std::make_unique<Decider>(std::move(terms), seed);
 }
 } // namespace pineridge
--- a/src/membership/blocking/follower.cpp
+++ b/src/membership/blocking/follower.cpp
@@ -58,7 +58,7 @@
     if (index_ > 0) {
         // What is doubted is read again as soon as that may count.
         wait = view_.doubting() ? std::min(times_.wait, view_.confirms_in()) : times_.wait;
-        wait = std::max<Ticks>(10, static_cast<Ticks>(wait * (1 + chance_.unit() / 16)));
+        wait = std::max<Ticks>(10, static_cast<Ticks>(wait * (1 + chance_.uniform() / 16)));
         path += "&index=" + std::to_string(index_) + "&wait=" + std::to_string((wait + 9) / 10) + "ms";
     }
     unsent_ += "GET " + path + " HTTP/1.1\r\nHost: " + authority_ + "\r\n";
--- a/src/membership/blocking/follower.hpp
+++ b/src/membership/blocking/follower.hpp
@@ -5,12 +5,12 @@
 // least that is asked with; each query's wait is spread so that many routers do not ask in step.
 #pragma once
 
-#include "chance.hpp"
 #include "membership/blocking/entries.hpp"
 #include "membership/peer.hpp"
 #include "membership/value.hpp"
 #include "membership/view.hpp"
 #include "net/http/http.hpp"
+#include "random.hpp"
 
 #include <optional>
 
@@ -46,7 +46,7 @@
     const ReadValue read_;
     const std::string prefix_, authority_, token_;
     const Times times_;
-    Pcg chance_;
+    Pcg32 chance_;
     std::optional<http::Answer> answer_; // to the query under way
     std::optional<Entries> entries_;
     std::vector<Record> page_;
--- a/src/membership/endpoints.hpp
+++ b/src/membership/endpoints.hpp
@@ -3,8 +3,8 @@
 // registry was away, so that many routers do not fell it as it comes back.
 #pragma once
 
-#include "chance.hpp"
 #include "logic.hpp"
+#include "random.hpp"
 
 #include <algorithm>
 #include <vector>
@@ -46,14 +46,14 @@
         Place &place = places_[at];
         const Ticks rest = std::min(rules_.rest_most, rules_.rest_least << std::min(place.failures, 10));
         ++place.failures;
-        place.rests_until = now + static_cast<Ticks>(rest * (0.75 + 0.5 * chance_.unit()));
+        place.rests_until = now + static_cast<Ticks>(rest * (0.75 + 0.5 * chance_.uniform()));
         std::erase(order_, static_cast<std::size_t>(at));
         order_.push_back(static_cast<std::size_t>(at));
         away_ = away_ || std::all_of(places_.begin(), places_.end(),
                                      [&](const Place &one) { return one.failures > 0; });
     }
     // How long a whole read waits first.
-    Ticks read_wait() { return away_ ? static_cast<Ticks>(rules_.spread * chance_.unit()) : 0; }
+    Ticks read_wait() { return away_ ? static_cast<Ticks>(rules_.spread * chance_.uniform()) : 0; }
 
   private:
     struct Place {
@@ -63,7 +63,7 @@
     EndpointRules rules_;
     std::vector<Place> places_;
     std::vector<std::size_t> order_;
-    Pcg chance_;
+    Pcg32 chance_;
     bool away_ = false; // all have failed since one last served
 };
 
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -127,7 +127,7 @@
         if (meanwhile_.size() < rules_.most) meanwhile_.push_back(record);
         const auto at = held_.find(record.key);
         const bool narrows =
-            record.gone || (record.member && record.member->entry.standing != Standing::ready);
+            record.gone || (record.member && record.member->entry.status != HostStatus::ready);
         if (at == held_.end() || !narrows) return;
     }
     const auto at = held_.find(record.key);
@@ -200,8 +200,8 @@
     const bool anew = std::exchange(at->second.recounted, false);
     at->second.record = record;
     HostEntry &entry = at->second.record.member->entry;
-    if (anew && before.standing == Standing::draining && before.started == entry.started)
-        entry.standing = before.standing;
+    if (anew && before.status == HostStatus::draining && before.started == entry.started)
+        entry.status = before.status;
     note(record.key);
 }
 
@@ -210,7 +210,7 @@
     if (at == held_.end()) return;
     if (at->second.listed) {
         left_.push_back(at->second.record.member->entry);
-        left_.back().standing = Standing::gone;
+        left_.back().status = HostStatus::gone;
     }
     held_.erase(at);
     dirty_.erase(key);
--- a/src/rehearsal/rehearsal.cpp
+++ b/src/rehearsal/rehearsal.cpp
@@ -8,42 +8,42 @@
 Rehearsal::Rehearsal(std::unique_ptr<Router> module, std::unique_ptr<Router> other)
     : module_(std::move(module)), other_(std::move(other)) {}
 
-void Rehearsal::clock(Ticks now) {
-    module_->clock(now);
-    other_->clock(now);
+void Rehearsal::set_time(Ticks now) {
+    module_->set_time(now);
+    other_->set_time(now);
 }
 
-void Rehearsal::list(const std::vector<HostEntry> &entries, bool whole) {
-    module_->list(entries, whole);
-    other_->list(entries, whole);
+void Rehearsal::update_hosts(const std::vector<HostEntry> &entries, bool whole) {
+    module_->update_hosts(entries, whole);
+    other_->update_hosts(entries, whole);
     if (whole) builds_.clear();
     for (const HostEntry &entry : entries) {
-        if (entry.standing == Standing::gone)
+        if (entry.status == HostStatus::gone)
             builds_.erase(entry.id);
         else
             builds_[entry.id] = entry.build;
     }
 }
 
-void Rehearsal::list_failed(Ticks lease_left) {
-    module_->list_failed(lease_left);
-    other_->list_failed(lease_left);
+void Rehearsal::host_list_failed(Ticks lease_left) {
+    module_->host_list_failed(lease_left);
+    other_->host_list_failed(lease_left);
 }
 
-void Rehearsal::list_lease(Ticks until, Ticks outage_until) {
-    module_->list_lease(until, outage_until);
-    other_->list_lease(until, outage_until);
+void Rehearsal::set_host_list_lease(Ticks until, Ticks outage_until) {
+    module_->set_host_list_lease(until, outage_until);
+    other_->set_host_list_lease(until, outage_until);
 }
 
-void Rehearsal::arrived(Arrival arrival) {
+void Rehearsal::rpc_arrived(Arrival arrival) {
     open_[arrival.id] = {};
-    other_->arrived(arrival);
-    module_->arrived(std::move(arrival));
+    other_->rpc_arrived(arrival);
+    module_->rpc_arrived(std::move(arrival));
 }
 
-void Rehearsal::ended(const std::string &rpc, int pick, Outcome outcome, Ticks took, bool complete,
-                      const std::vector<double> &report) {
-    module_->ended(rpc, pick, outcome, took, complete, report);
+void Rehearsal::pick_ended(const std::string &rpc, int pick, Outcome outcome, Ticks took, bool complete,
+                           const std::vector<double> &report) {
+    module_->pick_ended(rpc, pick, outcome, took, complete, report);
     const auto at = open_.find(rpc);
     if (at == open_.end()) return;
     Open &open = at->second;
@@ -55,68 +55,68 @@
     };
     close(open.real);
     if (close(open.other)) {
-        other_->ended(rpc, pick, outcome, took, complete, report);
+        other_->pick_ended(rpc, pick, outcome, took, complete, report);
         open.other.settled = open.other.settled || complete || outcome == Outcome::ok;
     }
     if (complete || outcome == Outcome::ok) end(rpc);
     release(rpc);
 }
 
-void Rehearsal::finished(const std::string &rpc, int streams) {
-    module_->finished(rpc, streams);
+void Rehearsal::rpc_finished(const std::string &rpc, int streams) {
+    module_->rpc_finished(rpc, streams);
     end(rpc);
 }
 
-void Rehearsal::flagged(const std::string &host, Ticks age) {
-    module_->flagged(host, age);
-    other_->flagged(host, age);
+void Rehearsal::answer_flagged(const std::string &host, Ticks age) {
+    module_->answer_flagged(host, age);
+    other_->answer_flagged(host, age);
 }
 
-void Rehearsal::news(const News &told) {
-    module_->news(told);
-    other_->news(told);
+void Rehearsal::update_rollout(const RolloutUpdate &told) {
+    module_->update_rollout(told);
+    other_->update_rollout(told);
     if (told.valid) close_votes(told.build, told.stage);
 }
 
-void Rehearsal::tally(const Tally &row) {
-    module_->tally(row);
-    other_->tally(row);
+void Rehearsal::add_platform_stats(const PlatformStats &row) {
+    module_->add_platform_stats(row);
+    other_->add_platform_stats(row);
 }
 
-void Rehearsal::heard(int peer, const std::string &bytes) {
-    module_->heard(peer, bytes);
-    other_->heard(peer, bytes);
+void Rehearsal::receive_summary(int peer, const std::string &bytes) {
+    module_->receive_summary(peer, bytes);
+    other_->receive_summary(peer, bytes);
 }
 
-void Rehearsal::allow(int build, int cell, double share) {
-    module_->allow(build, cell, share);
-    other_->allow(build, cell, share);
+void Rehearsal::set_cell_share(int build, int cell, double share) {
+    module_->set_cell_share(build, cell, share);
+    other_->set_cell_share(build, cell, share);
 }
 
-Decision Rehearsal::next() {
-    Decision made = module_->next();
+Decision Rehearsal::next_decision() {
+    Decision made = module_->next_decision();
     note(made, false);
-    if (made.act == Act::none) hear_other();
+    if (made.action == Action::none) hear_other();
     return made;
 }
 
 void Rehearsal::note(const Decision &made, bool other) {
-    if (made.act == Act::vote) {
+    if (made.action == Action::vote) {
         if (made.build != votes_.build || made.stage != votes_.stage) close_votes(made.build, made.stage);
-        if (made.verdict == Verdict::on) votes_.on[other] = true;
-        if (made.verdict == Verdict::back) votes_.back[other] = true;
+        if (made.verdict == Verdict::advance) votes_.on[other] = true;
+        if (made.verdict == Verdict::roll_back) votes_.back[other] = true;
         return;
     }
     const auto at = open_.find(made.rpc);
     if (at == open_.end()) return;
     Side &side = other ? at->second.other : at->second.real;
-    switch (made.act) {
-    case Act::pick:
+    switch (made.action) {
+    case Action::pick:
         if (side.picks.empty()) side.host = made.host;
         side.picks.push_back(true);
         return;
-    case Act::push_back:
-    case Act::abort:
+    case Action::push_back:
+    case Action::abort:
         side.turned_away = side.picks.empty();
         side.settled = true;
         if (!other) end(made.rpc);
@@ -127,9 +127,10 @@
 
 // Its wakes are not heeded: the first module's come every tenth of a second, and it is asked at each.
 void Rehearsal::hear_other() {
-    for (Decision made = other_->next(); made.act != Act::none; made = other_->next()) note(made, true);
+    for (Decision made = other_->next_decision(); made.action != Action::none; made = other_->next_decision())
+        note(made, true);
     for (const std::string &rpc : std::exchange(over_, {})) compare(rpc);
-    while (other_->next().act != Act::none) {
+    while (other_->next_decision().action != Action::none) {
     } // what it has left of these
 }
 
@@ -153,7 +154,7 @@
         seen_.hosts += !builds && real.host != other.host;
     }
     // Stops the other module from holding what the first has answered.
-    if (!other.settled) other_->finished(rpc, -1);
+    if (!other.settled) other_->rpc_finished(rpc, -1);
     at->second.compared = true;
     release(rpc);
 }
@@ -169,7 +170,7 @@
     if (out(at->second.real)) return;
     const std::vector<bool> &picks = at->second.other.picks;
     for (std::size_t i = 0; i < picks.size(); ++i)
-        if (picks[i]) other_->ended(rpc, static_cast<int>(i), Outcome::undone, 0, false, {});
+        if (picks[i]) other_->pick_ended(rpc, static_cast<int>(i), Outcome::cancelled, 0, false, {});
     open_.erase(at);
 }
 
--- a/src/rehearsal/rehearsal.hpp
+++ b/src/rehearsal/rehearsal.hpp
@@ -30,20 +30,20 @@
   public:
     Rehearsal(std::unique_ptr<Router> module, std::unique_ptr<Router> other);
 
-    void clock(Ticks now) override;
-    void list(const std::vector<HostEntry> &entries, bool whole) override;
-    void list_failed(Ticks lease_left) override;
-    void list_lease(Ticks until, Ticks outage_until) override;
-    void arrived(Arrival arrival) override;
-    void ended(const std::string &rpc, int pick, Outcome outcome, Ticks took, bool complete,
-               const std::vector<double> &report) override;
-    void finished(const std::string &rpc, int streams) override;
-    void flagged(const std::string &host, Ticks age) override;
-    void news(const News &told) override;
-    void tally(const Tally &row) override;
-    void heard(int peer, const std::string &bytes) override;
-    void allow(int build, int cell, double share) override;
-    Decision next() override; // the first module's alone
+    void set_time(Ticks now) override;
+    void update_hosts(const std::vector<HostEntry> &entries, bool whole) override;
+    void host_list_failed(Ticks lease_left) override;
+    void set_host_list_lease(Ticks until, Ticks outage_until) override;
+    void rpc_arrived(Arrival arrival) override;
+    void pick_ended(const std::string &rpc, int pick, Outcome outcome, Ticks took, bool complete,
+                    const std::vector<double> &report) override;
+    void rpc_finished(const std::string &rpc, int streams) override;
+    void answer_flagged(const std::string &host, Ticks age) override;
+    void update_rollout(const RolloutUpdate &told) override;
+    void add_platform_stats(const PlatformStats &row) override;
+    void receive_summary(int peer, const std::string &bytes) override;
+    void set_cell_share(int build, int cell, double share) override;
+    Decision next_decision() override; // the first module's alone
 
     const Differences &differences() const { return seen_; }
     std::size_t under_way() const { return open_.size(); }
--- a/src/release/office.cpp
+++ b/src/release/office.cpp
@@ -47,20 +47,20 @@
 }
 
 void Office::ended(int build, int cell, Outcome outcome) {
-    if (cell >= 0 && !proves_unrun(outcome)) plan_.seen(build, cell);
+    if (cell >= 0 && !proves_not_executed(outcome)) plan_.seen(build, cell);
 }
 
 // A verdict back does not wait for the beat; it is told once the module has been asked to the end.
 void Office::judged(int build, Verdict verdict) {
     plan_.verdict(build, verdict);
-    if (verdict == Verdict::back) asio::post(io_, [this] { flush(); });
+    if (verdict == Verdict::roll_back) asio::post(io_, [this] { flush(); });
 }
 
 // What the platform has released or withdrawn was judged to its end, by the votes of all modules.
-void Office::news(const News &news) {
-    if (news.phase == Phase::released) plan_.verdict(news.build, Verdict::on);
-    if (news.phase == Phase::going_back || news.phase == Phase::withdrawn)
-        plan_.verdict(news.build, Verdict::back);
+void Office::news(const RolloutUpdate &news) {
+    if (news.phase == Phase::released) plan_.verdict(news.build, Verdict::advance);
+    if (news.phase == Phase::rolling_back || news.phase == Phase::withdrawn)
+        plan_.verdict(news.build, Verdict::roll_back);
 }
 
 } // namespace pineridge::release
--- a/src/release/office.hpp
+++ b/src/release/office.hpp
@@ -21,7 +21,7 @@
     void arrived(int cell);
     void ended(int build, int cell, Outcome outcome); // a pick
     void judged(int build, Verdict verdict); // by the module
-    void news(const News &news); // of the platform
+    void news(const RolloutUpdate &news); // of the platform
 
   private:
     asio::awaitable<void> beat();
--- a/src/release/plan.cpp
+++ b/src/release/plan.cpp
@@ -125,7 +125,7 @@
     Build *build = find({scheme_.service, number});
     if (!build) return;
     build->verdict = judged;
-    if (judged == Verdict::back) beat_at_ = now_; // what is to go back does not wait
+    if (judged == Verdict::roll_back) beat_at_ = now_; // what is to go back does not wait
 }
 
 void Plan::arrived(int cell) { heard_[scheme_.customer_of(cell)] = now_; }
@@ -566,16 +566,16 @@
 }
 
 void Plan::opinions_of(Build &build) {
-    if (build.verdict == Verdict::back) {
+    if (build.verdict == Verdict::roll_back) {
         if (build.asked_back >= 0 && now_ < build.asked_back + scheme_.renew) return;
         build.asked_back = now_;
-        opinions_.push_back({build.name, -1, 0, Verdict::back, rev_});
+        opinions_.push_back({build.name, -1, 0, Verdict::roll_back, rev_});
         return;
     }
     build.asked_back = -1;
     for (const int cell : build.limited)
-        if (in_own_zone(cell)) give(build, cell, Verdict::back);
-    if (build.verdict != Verdict::on || !build.unsupported.empty()) return;
+        if (in_own_zone(cell)) give(build, cell, Verdict::roll_back);
+    if (build.verdict != Verdict::advance || !build.unsupported.empty()) return;
     const int open = open_wave(build);
     for (int customer = 0; customer < static_cast<int>(scheme_.customers.size()); ++customer) {
         const int cell = scheme_.cell(zone_, customer);
@@ -585,7 +585,7 @@
         // The first stage needs none: there is nothing to see of a build that nobody is sent to.
         const auto seen = build.evidence.find(cell);
         if (place.at > 0 && (seen == build.evidence.end() ? 0 : seen->second) < scheme_.evidence) continue;
-        give(build, cell, Verdict::on);
+        give(build, cell, Verdict::advance);
     }
 }
 
--- a/src/release/waves.cpp
+++ b/src/release/waves.cpp
@@ -1,6 +1,6 @@
 #include "release/waves.hpp"
 
-#include "chance.hpp"
+#include "random.hpp"
 
 #include <algorithm>
 #include <numeric>
@@ -18,7 +18,8 @@
     for (int i = 0; i < static_cast<int>(scheme.customers.size()); ++i) {
         const double share =
             traffic > 0 ? std::max(1e-9, burdens[i].traffic / traffic) : scheme.customers[i].share;
-        ranks.emplace_back(burdens[i].withdrawn / share, mix(scheme.customers[i].name + build.text(), 11), i);
+        ranks.emplace_back(burdens[i].withdrawn / share,
+                           salted_hash(scheme.customers[i].name + build.text(), 11), i);
     }
     std::sort(ranks.begin(), ranks.end());
     std::vector<int> place(ranks.size());
--- a/src/router/clients/request.cpp
+++ b/src/router/clients/request.cpp
@@ -79,8 +79,8 @@
     return back > 0 ? "-BUSY " + std::to_string((back + 9) / 10) + "\r\n" : "-BUSY\r\n";
 }
 
-Ticks allowed(const Terms &terms, Ticks back) {
-    return terms.advise_pause ? std::min(back, terms.max_pause) : 0;
+Ticks allowed(const DeploymentConfig &terms, Ticks back) {
+    return terms.advise_retry_after ? std::min(back, terms.max_retry_after) : 0;
 }
 
 Held::Held(std::string_view bytes, const Asked &read) : command(bytes), asked(read) {
--- a/src/router/clients/request.hpp
+++ b/src/router/clients/request.hpp
@@ -35,7 +35,7 @@
 std::string busy(Ticks back);
 // What may be told of a time to come back: nothing where the platform does not allow it, and no longer time
 // than it allows.
-Ticks allowed(const Terms &terms, Ticks back);
+Ticks allowed(const DeploymentConfig &terms, Ticks back);
 
 // The command once more with another time, as views into it and into the scratch.
 struct Reworded {
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -1,6 +1,6 @@
 #include "router/driver.hpp"
 
-#include "chance.hpp"
+#include "random.hpp"
 
 #include <algorithm>
 
@@ -30,17 +30,19 @@
       hosts_(io, start, log, ledger_), clients_(io, start, log, ledger_, *this),
       watch_(
           io, start, log, [this](const membership::Listing &listing) { take_list(listing); },
-          [this](Span left) { module().list_failed(std::chrono::duration_cast<Tick>(left).count()); },
+          [this](Span left) { module().host_list_failed(std::chrono::duration_cast<Tick>(left).count()); },
           [this](Instant until, Instant outage_until) { take_lease(until, outage_until); }),
       stream_(io, start, log, [this](const rollout::Told &told) { take_told(told); }),
-      votes_(io, start, log, [this](const News &news) { take_news(news); }), wake_(io), leave_(io),
+      votes_(io, start, log, [this](const RolloutUpdate &news) { take_news(news); }), wake_(io), leave_(io),
       unix_began_(std::chrono::system_clock::now()), began_(std::chrono::steady_clock::now()) {
     admit_by(start.entrance);
     if (start.release)
         office_.emplace(
             io, *start.release, start.names.tenants, start.limits, log, start.name, start.seed,
             [this] { return time(); },
-            [this](const release::Change &told) { module().allow(told.build, told.cell, told.share); });
+            [this](const release::Change &told) {
+                module().set_cell_share(told.build, told.cell, told.share);
+            });
 }
 
 // The same chance for both: where they are told the same they decide the same.
@@ -160,10 +162,10 @@
         const bool nothing_ran =
             rpc.unrun && std::none_of(rpc.picks.begin(), rpc.picks.end(),
                                       [](const auto &call) { return call && hosts::Hosts::has_left(call); });
-        const bool harmless =
-            nothing_ran || start_.terms.methods.at(rpc.held->asked.method).repeat == Repeat::idempotent;
+        const bool harmless = nothing_ran || start_.terms.methods.at(rpc.held->asked.method).repeat_policy ==
+                                                 RepeatPolicy::idempotent;
         answer(rpc, harmless ? clients::busy(0) : "-ERR aborted\r\n");
-        module().finished(id, -1);
+        module().rpc_finished(id, -1);
         forget_if_over(id);
     }
 }
@@ -179,7 +181,7 @@
 Router &Driver::module() {
     if (!std::exchange(turn_, true)) {
         now_ = time();
-        module_->clock(now_);
+        module_->set_time(now_);
         asio::post(io_, [this] { pull(); });
     }
     return *module_;
@@ -187,25 +189,27 @@
 
 void Driver::pull() {
     if (!turn_) return;
-    for (Decision made = module_->next(); made.act != Act::none; made = module_->next()) carry_out(made);
+    for (Decision made = module_->next_decision(); made.action != Action::none;
+         made = module_->next_decision())
+        carry_out(made);
     turn_ = false;
 }
 
 void Driver::carry_out(const Decision &made) {
-    switch (made.act) {
-    case Act::pick: return send(made);
-    case Act::cut:
+    switch (made.action) {
+    case Action::pick: return send(made);
+    case Action::cancel:
         if (const auto at = rpcs_.find(made.rpc); at != rpcs_.end())
             if (const auto &call = at->second.picks.at(made.pick)) hosts_.cut(call);
         return;
-    case Act::push_back:
-    case Act::abort: {
+    case Action::push_back:
+    case Action::abort: {
         const auto at = rpcs_.find(made.rpc);
         if (at == rpcs_.end()) return;
-        if (made.act == Act::abort) {
+        if (made.action == Action::abort) {
             answer(at->second, "-ERR aborted\r\n");
         } else {
-            Ticks back = made.span;
+            Ticks back = made.duration;
             if (counter_ && !entrance_->observe)
                 back =
                     clients::allowed(start_.terms, counter_->schedule_retry(at->second.wanted, back, time()));
@@ -213,18 +217,18 @@
         }
         return forget_if_over(made.rpc);
     }
-    case Act::vote:
+    case Action::vote:
         log_(Level::info, "vote ", kVerdicts[static_cast<int>(made.verdict)], " on build ", made.build,
              " stage ", made.stage);
         if (office_) office_->judged(made.build, made.verdict);
         return votes_.cast(made.build, made.stage, made.verdict);
-    case Act::watch_list:
+    case Action::request_host_list:
         if (!start_.registry) watch_.begin();
         return;
-    case Act::wake: return wake_at(made.span);
-    case Act::log: return log_(Level::info, made.text);
-    case Act::tell: // the platform has no way between routers yet
-    case Act::none: return;
+    case Action::wake: return wake_at(made.duration);
+    case Action::log: return log_(Level::info, made.text);
+    case Action::send_summary: // the platform has no way between routers yet
+    case Action::none: return;
     }
 }
 
@@ -255,7 +259,7 @@
     if (office_) office_->arrived(cell);
     Ticks deadline = now_ + std::max<Ticks>(1, asked.patience - lead);
     if (leave_by_ >= 0) deadline = std::min(deadline, std::max(now_ + 1, leave_by_));
-    to.arrived(
+    to.rpc_arrived(
         {id, asked.method, asked.tenant, std::string(asked.key), deadline, asked.retry, cell, asked.size});
 }
 
@@ -265,7 +269,7 @@
     const clients::Asked &asked = rpc.held->asked;
     const Ticks now = time();
     rpc.wanted = {asked.tenant, asked.method,
-                  mix(std::string(asked.key), static_cast<std::uint64_t>(asked.method)), asked.retry};
+                  salted_hash(std::string(asked.key), static_cast<std::uint64_t>(asked.method)), asked.retry};
     counter_->record_lateness(std::chrono::duration_cast<Tick>(age).count());
     const admission::RpcDecision decision = counter_->try_admit(rpc.wanted, now);
     rpc.counted = decision.reason == admission::PushbackReason::none;
@@ -289,7 +293,7 @@
     at->second.finished = true;
     over(at->second, false);
     withdraw(at->second);
-    module().finished(id, -1);
+    module().rpc_finished(id, -1);
     forget_if_over(id);
 }
 
@@ -313,7 +317,7 @@
     const int pick = static_cast<int>(rpc.picks.size());
     ++rpc.under_way;
     rpc.picks.push_back(
-        hosts_.send(made.host, rpc.held, made.span, latest_for(rpc),
+        hosts_.send(made.host, rpc.held, made.duration, latest_for(rpc),
                     [this, id = made.rpc, pick, host = made.host, build = hosts_.build_of(made.host),
                      sent = now_](hosts::Ending ending) { ended(id, pick, host, build, sent, ending); }));
     if (rpc.first_sent < 0) rpc.first_sent = now_;
@@ -324,9 +328,10 @@
 std::optional<hosts::Clock::time_point> Driver::latest_for(const Rpc &rpc) const {
     const Method &method = start_.terms.methods.at(rpc.held->asked.method);
     const bool maybe_ran = !rpc.unrun || rpc.under_way > 1;
-    if (method.repeat != Repeat::tokened || rpc.first_sent < 0 || !maybe_ran) return std::nullopt;
-    return began_ + std::chrono::duration_cast<hosts::Clock::duration>(Tick(rpc.first_sent + method.window) -
-                                                                       unix_began_.time_since_epoch());
+    if (method.repeat_policy != RepeatPolicy::tokened || rpc.first_sent < 0 || !maybe_ran)
+        return std::nullopt;
+    return began_ + std::chrono::duration_cast<hosts::Clock::duration>(
+                        Tick(rpc.first_sent + method.token_window) - unix_began_.time_since_epoch());
 }
 
 void Driver::ended(const std::string &id, int pick, const std::string &host, int build, Ticks sent,
@@ -335,15 +340,15 @@
     Rpc &rpc = rpcs_.at(id);
     rpc.picks.at(pick).reset();
     --rpc.under_way;
-    rpc.unrun = rpc.unrun && proves_unrun(ending.outcome);
+    rpc.unrun = rpc.unrun && proves_not_executed(ending.outcome);
     if (rpc.unrun && rpc.under_way == 0) rpc.first_sent = -1;
     if (office_) office_->ended(build, rpc.cell, ending.outcome);
     // Stops a pick that has yet to leave from taking a key to an earlier build than one that may have
     // answered it.
-    const bool holds_key = !proves_unanswered(ending.outcome) && !rpc.held->asked.key.empty();
-    if (holds_key && start_.terms.rollout.keys_stay) hosts_.withdraw_key(rpc.held->asked.key, build);
+    const bool holds_key = !proves_no_answer(ending.outcome) && !rpc.held->asked.key.empty();
+    if (holds_key && start_.terms.rollout.sticky_keys) hosts_.withdraw_key(rpc.held->asked.key, build);
     if (ending.outcome == Outcome::ok) answer(rpc, ending.value);
-    to.ended(id, pick, ending.outcome, now_ - sent, rpc.finished, ending.report);
+    to.pick_ended(id, pick, ending.outcome, now_ - sent, rpc.finished, ending.report);
     log_(Level::debug, "ended ", id, " pick ", pick, " at ", host, " outcome ",
          static_cast<int>(ending.outcome), " after ", (now_ - sent) / 10, " ms");
     forget_if_over(id);
@@ -364,18 +369,18 @@
     for (const membership::Member &host : listing.members) {
         const HostEntry &entry = host.entry;
         entries.push_back(entry);
-        if (entry.standing == Standing::gone)
+        if (entry.status == HostStatus::gone)
             hosts_.remove(entry.id);
         else
-            hosts_.put(entry.id, host.address, entry.standing == Standing::ready, entry.started, entry.build);
+            hosts_.put(entry.id, host.address, entry.status == HostStatus::ready, entry.started, entry.build);
     }
-    module().list(entries, false);
+    module().update_hosts(entries, false);
     log_(Level::debug, "list: entries ", entries.size());
 }
 
 void Driver::take_lease(Instant until, Instant outage_until) {
     hosts_.lease_until(until, outage_until);
-    module().list_lease(ticks_at(until), ticks_at(outage_until));
+    module().set_host_list_lease(ticks_at(until), ticks_at(outage_until));
 }
 
 // The list comes from a registry: each change of its view as a change of discovery's would.
@@ -384,7 +389,7 @@
         const json parsed = json::parse(value, nullptr, false);
         if (!parsed.is_object()) wrong("value", "not an object");
         membership::Member host = list::read_host(parsed, start_.names);
-        if (host.entry.standing == Standing::gone) wrong("state", "a host that has gone has no key");
+        if (host.entry.status == HostStatus::gone) wrong("state", "a host that has gone has no key");
         return host;
     };
     membership::Access &access = *start_.registry_access;
@@ -404,12 +409,12 @@
 }
 
 void Driver::take_told(const rollout::Told &told) {
-    if (const auto *news = std::get_if<News>(&told)) take_news(*news);
-    if (const auto *tally = std::get_if<Tally>(&told)) module().tally(*tally);
-    if (const auto *flag = std::get_if<rollout::Flag>(&told)) module().flagged(flag->host, flag->age);
+    if (const auto *news = std::get_if<RolloutUpdate>(&told)) take_news(*news);
+    if (const auto *tally = std::get_if<PlatformStats>(&told)) module().add_platform_stats(*tally);
+    if (const auto *flag = std::get_if<rollout::Flag>(&told)) module().answer_flagged(flag->host, flag->age);
 }
 
-void Driver::take_news(News news) {
+void Driver::take_news(RolloutUpdate news) {
     Router &to = module();
     if (news.valid && !rollout::supersedes(news, known_)) {
         if (!news.answers_vote) return;
@@ -420,11 +425,11 @@
     }
     // Stops picks that wait for a connection from going to a build that may have fewer of them by then.
     if (news.valid && news.build == known_.build && news.cap < known_.cap) hosts_.withdraw_from(news.build);
-    if (news.valid && (news.phase == Phase::going_back || news.phase == Phase::withdrawn))
+    if (news.valid && (news.phase == Phase::rolling_back || news.phase == Phase::withdrawn))
         hosts_.release_keys(news.build);
     if (news.valid) known_ = news, known_.answers_vote = false, known_at_ = now_;
     if (news.valid && office_) office_->news(news);
-    to.news(news);
+    to.update_rollout(news);
 }
 
 // What admission held back since the last line, where it did.
--- a/src/router/driver.hpp
+++ b/src/router/driver.hpp
@@ -71,7 +71,7 @@
     void take_lease(Instant until, Instant outage_until); // on the list
     void begin_registry();
     void take_told(const rollout::Told &told);
-    void take_news(News news);
+    void take_news(RolloutUpdate news);
     void wake_at(Ticks at);
     asio::awaitable<void> serve();
     asio::awaitable<void> wait_for_hosts(); // of a registry, for a bounded time
@@ -103,7 +103,7 @@
     bool turn_ = false, listed_ = false;
     std::chrono::system_clock::time_point unix_began_;
     std::chrono::steady_clock::time_point began_;
-    News known_{};
+    RolloutUpdate known_{};
     Ticks known_at_ = 0;
     std::uint64_t said_refused_ = 0, said_held_ = 0;
     rehearsal::Differences said_rehearsed_{};
--- a/src/router/hosts/exchange.cpp
+++ b/src/router/hosts/exchange.cpp
@@ -33,14 +33,14 @@
     resp::Value answer;
     const resp::Scan got = resp::scan(unread_, bounds, answer);
     if (got == resp::Scan::more) return std::nullopt;
-    if (got == resp::Scan::bad) return Ending{Outcome::fault};
+    if (got == resp::Scan::bad) return Ending{Outcome::error};
     Ending ending = read(answer);
     ending.reusable = ending.reusable && answer.raw.size() == unread_.size();
     return ending;
 }
 
 Ending Exchange::read(const resp::Value &answer) const {
-    Ending ending{Outcome::fault};
+    Ending ending{Outcome::error};
     if (answer.kind == resp::Kind::error) {
         const std::string_view line = answer.body;
         const auto says = [&](std::string_view words) {
@@ -49,7 +49,7 @@
         };
         // Any other line is no answer of a host: what it stands for, and what follows, is not believed.
         ending.reusable = says("ERR failed") || says("BUSY");
-        if (says("BUSY")) ending.outcome = Outcome::no_room;
+        if (says("BUSY")) ending.outcome = Outcome::host_busy;
         if (ending.reusable) ending.report = read_report(line.substr(line.rfind(' ') + 1), fields_);
         return ending;
     }
--- a/src/router/hosts/exchange.hpp
+++ b/src/router/hosts/exchange.hpp
@@ -13,7 +13,7 @@
 namespace pineridge::router::hosts {
 
 struct Ending {
-    Outcome outcome = Outcome::cut;
+    Outcome outcome = Outcome::connection_lost;
     std::string value{}; // as a bulk string, for the client
     std::vector<double> report{}; // by the fields told; empty where none came whole
     bool reusable = false; // a whole, well-formed answer and nothing behind it
--- a/src/router/hosts/hosts.cpp
+++ b/src/router/hosts/hosts.cpp
@@ -25,7 +25,7 @@
         const auto at = home_.places_.find(id_);
         process_ = at == home_.places_.end() ? 0 : at->second.process;
         build_ = home_.build_of(id_);
-        if (home_.start_.terms.rollout.keys_stay) kept_key_ = held_->asked.key;
+        if (home_.start_.terms.rollout.sticky_keys) kept_key_ = held_->asked.key;
     }
 
     asio::awaitable<void> run() {
@@ -35,7 +35,8 @@
         home_.unsent_.erase(this);
         if (sent_) home_.key_ended(kept_key_, build_);
         fuse_.put_out();
-        if (cut_ && ending.outcome != Outcome::ok) ending.outcome = sent_ ? Outcome::undone : Outcome::stale;
+        if (cut_ && ending.outcome != Outcome::ok)
+            ending.outcome = sent_ ? Outcome::cancelled : Outcome::not_sent;
         const bool reusable = ending.reusable && !cut_;
         std::exchange(ended_, nullptr)(std::move(ending));
         if (!socket_) co_return;
@@ -91,7 +92,7 @@
             Hosts::Place *const place = here();
             // Drained, gone or another process since the pick was decided: nothing of it has been sent.
             if (!place || !place->ready || cut_ || !home_.may_send(past_lease_))
-                co_return Ending{Outcome::stale};
+                co_return Ending{Outcome::not_sent};
             if (!fresh) socket_ = home_.take_idle(*place, idle_);
             if (!socket_) {
                 idle_.reset();
@@ -103,17 +104,18 @@
                 if (Hosts::Place *const still = here(); still && !socket_)
                     std::erase(still->waiting, shared_from_this());
                 if (!socket_)
-                    co_return Ending{refused_ || Clock::now() >= until ? Outcome::no_route : Outcome::stale};
+                    co_return Ending{refused_ || Clock::now() >= until ? Outcome::connect_failed
+                                                                       : Outcome::not_sent};
                 if (const Hosts::Place *still = here();
                     !still || !still->ready || cut_ || !home_.may_send(past_lease_))
-                    co_return Ending{Outcome::stale, {}, {}, true};
+                    co_return Ending{Outcome::not_sent, {}, {}, true};
             }
-            if (latest_ && Clock::now() >= *latest_) co_return Ending{Outcome::stale, {}, {}, true};
+            if (latest_ && Clock::now() >= *latest_) co_return Ending{Outcome::not_sent, {}, {}, true};
             // Sent meanwhile to a newer build, whose answer may be lost on its way: not to this one any more.
-            if (home_.is_out_above(kept_key_, build_)) co_return Ending{Outcome::stale, {}, {}, true};
+            if (home_.is_out_above(kept_key_, build_)) co_return Ending{Outcome::not_sent, {}, {}, true};
             fuse_.light(*socket_, until_);
             if (co_await write()) break;
-            if (fresh || cut_ || fuse_.blown()) co_return Ending{Outcome::no_route};
+            if (fresh || cut_ || fuse_.blown()) co_return Ending{Outcome::connect_failed};
             home_.close(socket_); // it had ended while idle, and nothing whole was written: once more
         }
         co_return co_await read();
@@ -157,7 +159,7 @@
             const auto [failed, size] =
                 co_await socket_->async_read_some(asio::buffer(room), as_tuple(use_awaitable));
             if (!cut_ && !fuse_.blown()) note_end(failed && !exchange.begun());
-            if (failed) co_return Ending{fuse_.blown() ? Outcome::too_slow : Outcome::cut};
+            if (failed) co_return Ending{fuse_.blown() ? Outcome::timed_out : Outcome::connection_lost};
             if (auto ending = exchange.feed({room.data(), size})) co_return std::move(*ending);
         }
     }
--- a/src/router/list/listing.cpp
+++ b/src/router/list/listing.cpp
@@ -6,13 +6,13 @@
     membership::Member host{};
     HostEntry &entry = host.entry;
     entry.id = text(from, "id");
-    entry.standing = word<Standing>(from, "state",
-                                    {{"in_service", Standing::ready},
-                                     {"terminating", Standing::draining},
-                                     {"terminated", Standing::gone}});
-    if (entry.standing != Standing::gone || has(from, "addr"))
+    entry.status = word<HostStatus>(from, "state",
+                                    {{"in_service", HostStatus::ready},
+                                     {"terminating", HostStatus::draining},
+                                     {"terminated", HostStatus::gone}});
+    if (entry.status != HostStatus::gone || has(from, "addr"))
         host.address = read_address(text(from, "addr"), "addr");
-    if (entry.standing == Standing::gone && !has(from, "version_no")) return host;
+    if (entry.status == HostStatus::gone && !has(from, "version_no")) return host;
     entry.zone = place_of(names.zones, text(from, "zone"), "zone");
     entry.kind = place_of(names.kinds, text(from, "kind"), "kind");
     entry.cell = whole(from, "cell");
--- a/src/router/list/watch.cpp
+++ b/src/router/list/watch.cpp
@@ -250,7 +250,7 @@
     for (const membership::Member &host : listing.hosts)
         records.push_back({.key = host.entry.id,
                            .rev = answers_,
-                           .gone = host.entry.standing == Standing::gone,
+                           .gone = host.entry.status == HostStatus::gone,
                            .member = host});
     if (listing.whole) {
         std::erase_if(records, [](const membership::Record &one) { return one.gone; });
--- a/src/router/rollout/news.cpp
+++ b/src/router/rollout/news.cpp
@@ -10,14 +10,14 @@
 
 } // namespace
 
-News read_news(const json &from) {
-    News news{};
+RolloutUpdate read_news(const json &from) {
+    RolloutUpdate news{};
     news.valid = true;
     news.build = whole(from, "build");
     news.stage = whole(from, "stage");
     news.phase = word<Phase>(from, "phase",
                              {{"Progressing", Phase::on_trial},
-                              {"Aborting", Phase::going_back},
+                              {"Aborting", Phase::rolling_back},
                               {"Healthy", Phase::released},
                               {"Aborted", Phase::withdrawn}});
     if (news.stage < 0) wrong("stage", "below 0");
@@ -35,7 +35,7 @@
     const json &object = need(row, "object");
     if (type == "stage") return read_news(object);
     if (type == "flag") return Flag{text(object, "server"), age_of(object)};
-    Tally tally{};
+    PlatformStats tally{};
     tally.build = whole(object, "build");
     tally.method = place_of(names.methods, text(object, "class"), "class");
     tally.picks = whole(object, "count");
@@ -50,9 +50,9 @@
     return json{{"build", build}, {"stage", stage}, {"verdict", kWords[static_cast<int>(verdict)]}}.dump();
 }
 
-bool supersedes(const News &told, const News &known) {
+bool supersedes(const RolloutUpdate &told, const RolloutUpdate &known) {
     static constexpr int kOrder[] = {0, 2, 1, 3}; // on trial, going back, released, withdrawn
-    const auto rank = [](const News &news) {
+    const auto rank = [](const RolloutUpdate &news) {
         return std::tuple(news.build, kOrder[static_cast<int>(news.phase)], news.stage);
     };
     return rank(told) >= rank(known);
--- a/src/router/rollout/votes.cpp
+++ b/src/router/rollout/votes.cpp
@@ -13,7 +13,7 @@
         http::Answer answer(start_.limits.head, start_.limits.news_line);
         const http::Call got =
             co_await link_.call("POST", "/apis/fleet/opinions", vote, start_.limits.vote_wait, false, answer);
-        News news{}; // not valid: not counted, or not known to be
+        RolloutUpdate news{}; // not valid: not counted, or not known to be
         if (got == http::Call::answered && answer.status() == 200) {
             try {
                 news = read_news(json::parse(answer.body(), nullptr, false));
--- a/src/router/rollout/votes.hpp
+++ b/src/router/rollout/votes.hpp
@@ -14,7 +14,7 @@
 class Votes {
   public:
     Votes(asio::io_context &io, const Start &start, const Log &log,
-          std::function<void(const News &)> answered)
+          std::function<void(const RolloutUpdate &)> answered)
         : io_(io), start_(start), log_(log), link_(io, start.platform, start.limits),
           answered_(std::move(answered)) {}
 
@@ -28,7 +28,7 @@
     const Start &start_;
     const Log &log_;
     http::Link link_;
-    std::function<void(const News &)> answered_;
+    std::function<void(const RolloutUpdate &)> answered_;
     std::optional<std::string> waiting_;
     bool running_ = false;
 };
--- a/src/router/start.cpp
+++ b/src/router/start.cpp
@@ -83,9 +83,9 @@
 
 // On sockets discovery tells those who ask, and nobody else: also where the simulator would push changes.
 // Stops a router from keeping to the list of its start, and picks from reaching hosts long drained.
-void fit_sockets(Terms &terms, const Limits &limits) {
-    terms.list_by_asking = true;
-    terms.room = static_cast<int>(limits.hosts); // a connection carries one pick at a time
+void fit_sockets(DeploymentConfig &terms, const Limits &limits) {
+    terms.requests_host_list = true;
+    terms.max_open_picks = static_cast<int>(limits.hosts); // a connection carries one pick at a time
 }
 
 } // namespace
@@ -110,10 +110,10 @@
     if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size()) wrong("seed", "not a hex number");
     const json &settings = need(from, "settings");
     start.terms = read_terms(settings);
-    start.list_at_hand = !start.terms.list_by_asking;
+    start.list_at_hand = !start.terms.requests_host_list;
     start.names = read_names(settings);
     for (const Method &method : start.terms.methods)
-        start.names.idempotent.push_back(method.repeat == Repeat::idempotent);
+        start.names.idempotent.push_back(method.repeat_policy == RepeatPolicy::idempotent);
     start.limits = read_limits(need(from, "limits"), settings);
     // Stops a fleet that starts at once from opening to each host what it never uses: hosts hold few.
     start.limits.warm = std::min(start.limits.warm, kWarmOfAll / start.terms.instances);
@@ -139,13 +139,13 @@
                                              .c_str());
 }
 
-Terms read_rehearsed(const Start &start, const std::string &path) {
+DeploymentConfig read_rehearsed(const Start &start, const std::string &path) {
     std::ifstream file(path);
     if (!file) wrong("rehearsal.settings", (path + ": cannot be opened").c_str());
     const json from = json::parse(file, nullptr, false);
     if (!from.is_object()) wrong("rehearsal.settings", (path + ": not a JSON object").c_str());
     try {
-        Terms terms = read_terms(from);
+        DeploymentConfig terms = read_terms(from);
         const Names told = read_names(from);
         const auto same = [](const auto &now, const auto &then, const char *key) {
             if (now != then) wrong(key, "not the names that the configuration holds, in its order");
@@ -175,8 +175,8 @@
     }
     if (!start.release) return;
     check_fits(start, *start.release);
-    if (start.rehearsed) start.rehearsed->cell_share = 0;
-    start.terms.cell_share = 0; // a trial of which the plan has told nothing is in its first stage
+    if (start.rehearsed) start.rehearsed->default_cell_share = 0;
+    start.terms.default_cell_share = 0; // a trial of which the plan has told nothing is in its first stage
 }
 
 Start read_start_file(const std::string &path, const Environment &environment) {
--- a/src/router/start.hpp
+++ b/src/router/start.hpp
@@ -24,7 +24,7 @@
     Address listen, discovery, platform;
     std::uint64_t seed;
     Limits limits;
-    Terms terms;
+    DeploymentConfig terms;
     Names names;
     json news; // the platform's newest, in its own form
     json known; // the list as last had, in discovery's form
@@ -34,7 +34,8 @@
     std::shared_ptr<const Entrance> entrance{}; // who may come in; none: whoever finds room
     std::function<Wishes()>
         wishes_again{}; // our own settings, read anew; throws as the first reading did. Any thread.
-    std::optional<Terms> rehearsed{}; // of another shape of deployment, whose decisions are only counted
+    std::optional<DeploymentConfig>
+        rehearsed{}; // of another shape of deployment, whose decisions are only counted
     std::optional<Scheme> release{}; // staged releases by cell; none: one cell for all, as the platform tells
 };
 
@@ -52,7 +53,7 @@
 // The terms in a file of another deployment's settings; throws BadInput naming the key where they are
 // unsound, or name other methods, customers, zones or kinds than the configuration's, by whose places the
 // module counts.
-Terms read_rehearsed(const Start &start, const std::string &path);
+DeploymentConfig read_rehearsed(const Start &start, const std::string &path);
 
 // Where a name stands among those told; throws BadInput for the field.
 int place_of(const std::vector<std::string> &names, const std::string &name, const char *field);
--- a/src/simhost/reader.cpp
+++ b/src/simhost/reader.cpp
@@ -15,13 +15,13 @@
 Outcome outcome(const json &from) {
     return word<Outcome>(from, "verdict",
                          {{"pass", Outcome::ok},
-                          {"fault", Outcome::fault},
-                          {"no_room", Outcome::no_room},
-                          {"too_slow", Outcome::too_slow},
-                          {"no_route", Outcome::no_route},
-                          {"cut", Outcome::cut},
-                          {"undone", Outcome::undone},
-                          {"stale_send", Outcome::stale}});
+                          {"fault", Outcome::error},
+                          {"no_room", Outcome::host_busy},
+                          {"too_slow", Outcome::timed_out},
+                          {"no_route", Outcome::connect_failed},
+                          {"cut", Outcome::connection_lost},
+                          {"undone", Outcome::cancelled},
+                          {"stale_send", Outcome::not_sent}});
 }
 
 HostEntry read_entry(const json &from) {
@@ -33,7 +33,7 @@
     entry.build = whole(from, "release");
     const int standing = whole(from, "stageState");
     if (standing < 1 || standing > 3) wrong("stageState", "out of range");
-    entry.standing = static_cast<Standing>(standing);
+    entry.status = static_cast<HostStatus>(standing);
     entry.rating = number(from, "rating");
     entry.started = has(from, "readyAt") ? ticks(from, "readyAt") : 0;
     return entry;
@@ -47,12 +47,12 @@
     arrival.key = has(from, "entity") ? text(from, "entity") : "";
     arrival.deadline = ticks(from, "deadline");
     arrival.retry = mark(from, "retry");
-    if (has(from, "sizeHint")) arrival.size = ticks(from, "sizeHint");
+    if (has(from, "sizeHint")) arrival.size_hint = ticks(from, "sizeHint");
     return arrival;
 }
 
-News read_news(const json &from) {
-    News news{};
+RolloutUpdate read_news(const json &from) {
+    RolloutUpdate news{};
     news.valid = outcome(from) == Outcome::ok;
     news.answers_vote = whole(from, "reason") == 1;
     if (!news.valid) return news;
@@ -99,33 +99,33 @@
         const json &seed = need(event, "rngSeed");
         if (!seed.is_number_integer()) wrong("rngSeed", "not a whole number");
         routers_[who] = make_router(read_terms(need(event, "profileData")), seed.get<std::uint64_t>());
-        routers_[who]->clock(now);
+        routers_[who]->set_time(now);
         return;
     }
     const auto at = routers_.find(who);
     if (at == routers_.end()) wrong("who", "an instance that has not started");
     Router &router = *at->second;
-    router.clock(now);
+    router.set_time(now);
     if (cmd == "DEADLINE_HIT") return;
-    if (cmd == "ARRIVAL") return router.arrived(read_arrival(event));
+    if (cmd == "ARRIVAL") return router.rpc_arrived(read_arrival(event));
     if (cmd == "REPORT_BACK")
-        return router.ended(text(event, "tid"), whole(event, "leg"), outcome(event), ticks(event, "latency"),
-                            mark(event, "complete"), report(event));
+        return router.pick_ended(text(event, "tid"), whole(event, "leg"), outcome(event),
+                                 ticks(event, "latency"), mark(event, "complete"), report(event));
     if (cmd == "ENDPOINTS") {
         const int kind = whole(event, "kind");
-        if (kind == 3) return router.list_failed(-1);
+        if (kind == 3) return router.host_list_failed(-1);
         if (kind < 0 || kind > 3) wrong("kind", "out of range");
-        return router.list(sheets_[place(event, "sheet", sheets_.size())], kind != 0);
+        return router.update_hosts(sheets_[place(event, "sheet", sheets_.size())], kind != 0);
     }
-    if (cmd == "EXPIRED") return router.finished(text(event, "tid"), -1);
-    if (cmd == "STEP_NEWS") return router.news(read_news(event));
+    if (cmd == "EXPIRED") return router.rpc_finished(text(event, "tid"), -1);
+    if (cmd == "STEP_NEWS") return router.update_rollout(read_news(event));
     if (cmd == "TALLY")
-        return router.tally({whole(event, "image"), whole(event, "service"), whole(event, "many"),
-                             whole(event, "errors"), ticks(event, "old"),
-                             has(event, "latency") ? number(event, "latency") : 0});
-    if (cmd == "FLAGGED") return router.flagged(text(event, "host"), ticks(event, "old"));
-    if (cmd == "FLOWING") return router.finished(text(event, "tid"), whole(event, "leg"));
-    if (cmd == "WHISPER") return router.heard(whole(event, "author"), bytes(event, "blob"));
+        return router.add_platform_stats({whole(event, "image"), whole(event, "service"),
+                                          whole(event, "many"), whole(event, "errors"), ticks(event, "old"),
+                                          has(event, "latency") ? number(event, "latency") : 0});
+    if (cmd == "FLAGGED") return router.answer_flagged(text(event, "host"), ticks(event, "old"));
+    if (cmd == "FLOWING") return router.rpc_finished(text(event, "tid"), whole(event, "leg"));
+    if (cmd == "WHISPER") return router.receive_summary(whole(event, "author"), bytes(event, "blob"));
     if (cmd == "PONG") return static_cast<void>(text(event, "host")); // the module asks for no probes
     wrong("cmd", ("unknown event " + cmd).c_str());
 }
@@ -144,7 +144,8 @@
         for (const std::string &who : touched) {
             const auto at = routers_.find(who);
             if (at == routers_.end()) continue;
-            for (Decision d = at->second->next(); d.act != Act::none; d = at->second->next())
+            for (Decision d = at->second->next_decision(); d.action != Action::none;
+                 d = at->second->next_decision())
                 actions.push_back(action(who, d));
         }
     } catch (const std::out_of_range &) {
--- a/src/simhost/writer.cpp
+++ b/src/simhost/writer.cpp
@@ -18,28 +18,30 @@
 } // namespace
 
 nlohmann::json action(const std::string &who, const Decision &d) {
-    switch (d.act) {
-    case Act::pick:
+    switch (d.action) {
+    case Action::pick:
         return {{"cmd", "ATTEMPT"},
                 {"who", who},
                 {"tid", d.rpc},
                 {"host", d.host},
-                {"patience", seconds(d.span)}};
-    case Act::cut: return {{"cmd", "REVOKE"}, {"who", who}, {"tid", d.rpc}, {"leg", d.pick}};
-    case Act::push_back: return {{"cmd", "BUSY"}, {"who", who}, {"tid", d.rpc}, {"pause", seconds(d.span)}};
-    case Act::abort: return {{"cmd", "ERROR"}, {"who", who}, {"tid", d.rpc}};
-    case Act::vote:
+                {"patience", seconds(d.duration)}};
+    case Action::cancel: return {{"cmd", "REVOKE"}, {"who", who}, {"tid", d.rpc}, {"leg", d.pick}};
+    case Action::push_back:
+        return {{"cmd", "BUSY"}, {"who", who}, {"tid", d.rpc}, {"pause", seconds(d.duration)}};
+    case Action::abort: return {{"cmd", "ERROR"}, {"who", who}, {"tid", d.rpc}};
+    case Action::vote:
         return {{"cmd", "JUDGE"},
                 {"who", who},
                 {"image", d.build},
                 {"stage", d.stage},
                 {"reason", static_cast<int>(d.verdict)}};
-    case Act::tell: return {{"cmd", "PUBLISH"}, {"who", who}, {"addressee", d.peer}, {"blob", hex(d.text)}};
-    case Act::watch_list: return {{"cmd", "LISTEN"}, {"who", who}, {"want", true}};
-    case Act::wake:
-        return {{"cmd", "TIMER"}, {"who", who}, {"instant", seconds(d.span)}, {"keyBack", "wake"}};
-    case Act::log: return {{"cmd", "EMIT"}, {"who", who}, {"line", d.text}};
-    case Act::none: break;
+    case Action::send_summary:
+        return {{"cmd", "PUBLISH"}, {"who", who}, {"addressee", d.peer}, {"blob", hex(d.text)}};
+    case Action::request_host_list: return {{"cmd", "LISTEN"}, {"who", who}, {"want", true}};
+    case Action::wake:
+        return {{"cmd", "TIMER"}, {"who", who}, {"instant", seconds(d.duration)}, {"keyBack", "wake"}};
+    case Action::log: return {{"cmd", "EMIT"}, {"who", who}, {"line", d.text}};
+    case Action::none: break;
     }
     return nullptr;
 }
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -3,9 +3,9 @@
 // src/logic.cpp sets what does not start at nothing.
 #pragma once
 
-#include "chance.hpp"
 #include "logic.hpp"
-#include "word.hpp"
+#include "random.hpp"
+#include "trial_summary.hpp"
 
 #include <boost/unordered/unordered_flat_map.hpp>
 
@@ -23,11 +23,11 @@
 namespace pineridge {
 
 inline bool diverges(Outcome end) {
-    return end == Outcome::fault || end == Outcome::too_slow || end == Outcome::cut;
+    return end == Outcome::error || end == Outcome::timed_out || end == Outcome::connection_lost;
 }
 
-inline bool same_group(Group group, const HostEntry &a, const HostEntry &b) {
-    return group == Group::all || (group == Group::zone ? a.zone == b.zone : a.cell == b.cell);
+inline bool same_group(TokenScope group, const HostEntry &a, const HostEntry &b) {
+    return group == TokenScope::all || (group == TokenScope::zone ? a.zone == b.zone : a.cell == b.cell);
 }
 
 struct Pick {
@@ -116,7 +116,7 @@
     std::unordered_map<std::string, int> open_keys{}; // picks out there by key, where they must stay
     double answers = 0;
     double flags = 0;
-    Count tried{}; // own picks of it, failed: not taken by their hosts
+    PickCounts tried{}; // own picks of it, failed: not taken by their hosts
 };
 
 // What the release plan allows a build of each cell's RPCs, and elsewhere.
@@ -148,16 +148,16 @@
 };
 
 struct Evidence {
-    Count all, stage, before; // before: the earlier build's
-    std::vector<Count> by_method, before_by; // before_by: the earlier build's
+    PickCounts all, stage, before; // before: the earlier build's
+    std::vector<PickCounts> by_method, before_by; // before_by: the earlier build's
     double alone = 0; // share of its picks in periods that tell too little of the earlier build
-    std::map<int, Count> by_host;
+    std::map<int, PickCounts> by_host;
     std::vector<double> medians; // of hosts: log latency over the earlier hosts'
     double timed = 0; // picks that the latency stands on
     double usual = 0; // the earlier build's failure share
     double slow = 0; // log of its latency over the earlier build's
     double slow_bar = 0;
-    Count answers; // of all routers heard; failed: found wrong
+    PickCounts answers; // of all routers heard; failed: found wrong
 
     double on_worst_third() const { // of its hosts, at least of one: their failures
         std::vector<double> hit;
@@ -175,12 +175,12 @@
     double method_odds(double share, double least, double prior) const {
         double most = 0;
         for (std::size_t i = 0; i < by_method.size() && i < before_by.size(); ++i) {
-            const Count &one = by_method[i], &before_one = before_by[i];
+            const PickCounts &one = by_method[i], &before_one = before_by[i];
             const double beside = (before_one.failed + prior * usual) / (before_one.picks + prior);
             const double others = (all.failed - one.failed + least * prior) / (all.picks - one.picks + prior);
             const double chance = std::min(share, std::max({beside, others, least}));
             most = std::max(most, one.failed * std::log(share / chance) +
-                                      one.ok() * std::log((1 - share) / (1 - chance)));
+                                      one.succeeded() * std::log((1 - share) / (1 - chance)));
         }
         return most;
     }
@@ -201,19 +201,19 @@
 
 // One instance, with the inputs that decide nothing.
 struct Instance : Router {
-    Instance(Terms given, std::uint64_t seed) : terms(std::move(given)) {
+    Instance(DeploymentConfig given, std::uint64_t seed) : terms(std::move(given)) {
         rng.state = seed * 2862933555777941757ULL + 3037000493ULL;
         own_order = rng.state;
         usual.assign(terms.methods.size(), 0);
         usual_count.assign(terms.methods.size(), 0);
         taken.resize(terms.methods.size());
         lateness.resize(terms.methods.size() + terms.tenant_quotas.size());
-        if (!terms.advise_pause) terms.max_pause = 0;
+        if (!terms.advise_retry_after) terms.max_retry_after = 0;
         for (double quota : terms.tenant_quotas) tokens.push_back(quota / terms.instances);
     }
 
-    Terms terms;
-    Pcg rng;
+    DeploymentConfig terms;
+    Pcg32 rng;
     std::uint64_t own_order = 0; // what its order of hosts is drawn by
     Ticks now = 0, armed = -1, beat_at = 0;
     std::vector<Host> hosts;
@@ -229,12 +229,12 @@
     std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
     std::map<int, Build> builds;
     std::deque<Sample> earlier; // the earlier build's picks of late
-    std::deque<std::pair<Ticks, Tally>> tallies;
+    std::deque<std::pair<Ticks, PlatformStats>> tallies;
     double calm_rate = 0; // tallied picks of a period when the trial began
-    std::vector<Count> calm_pace; // by method: tallied log latency when the trial began
+    std::vector<PickCounts> calm_pace; // by method: tallied log latency when the trial began
     double early_rise = 0; // of tallied log latency over that, in stage one
-    std::vector<Count> shown; // by method: the trial's picks that all routers heard of saw
-    std::map<int, Word> words; // by peer, the last one of its own; by its complement, the last sum
+    std::vector<PickCounts> shown; // by method: the trial's picks that all routers heard of saw
+    std::map<int, TrialSummary> words; // by peer, the last one of its own; by its complement, the last sum
     Ticks tell_at = 0, tell_round = -1; // rounds are counted from the stage's begin
     int tell_left = 0; // peers to tell in this round
     std::vector<double> usual; // by method: log latency at the earlier build, still while one is on trial
@@ -276,7 +276,7 @@
     double barred = 0; // share of new connections that were not had, of late
     double breaks = 0; // share of the earlier builds' picks whose connection broke, of late
     std::set<int> sent_back; // builds withdrawn: their hosts drain, though a late list shows them
-    News known{};
+    RolloutUpdate known{};
     bool has_news = false;
     Ticks stage_at = 0, voted_at = 0, judge_at = 0;
     Verdict voted = Verdict::none;
@@ -293,12 +293,12 @@
     }
     bool going_back(int build) const {
         return has_news && build == known.build &&
-               (known.phase == Phase::going_back || known.phase == Phase::withdrawn);
+               (known.phase == Phase::rolling_back || known.phase == Phase::withdrawn);
     }
     bool trial_runs() const { return has_news && known.phase == Phase::on_trial; }
     bool watching() const { return has_news && known.phase == Phase::released; }
     bool usable(const Host &host) const {
-        return host.listed && host.entry.standing == Standing::ready &&
+        return host.listed && host.entry.status == HostStatus::ready &&
                sent_back.count(host.entry.build) == 0;
     }
     bool list_holds() const { return now <= list_until; }
@@ -330,7 +330,7 @@
         rpc.queued = true;
     }
 
-    void list(const std::vector<HostEntry> &entries, bool whole) override {
+    void update_hosts(const std::vector<HostEntry> &entries, bool whole) override {
         for (Host &host : hosts) host.listed = host.listed && !whole;
         for (const HostEntry &entry : entries) {
             const auto [at, fresh] = host_at.try_emplace(entry.id, static_cast<int>(hosts.size()));
@@ -340,14 +340,14 @@
                 Host next{entry};
                 next.open = host.open;
                 next.pushed = std::move(host.pushed);
-                next.dice = rng.unit();
-                const double unit = (mix(entry.id, own_order) >> 11) * 0x1p-53;
+                next.dice = rng.uniform();
+                const double unit = (salted_hash(entry.id, own_order) >> 11) * 0x1p-53;
                 next.rank = -std::log(1 - unit) / rating(next);
                 next.quiet_since = now;
                 host = std::move(next);
             }
             host.entry = entry;
-            host.listed = entry.standing != Standing::gone;
+            host.listed = entry.status != HostStatus::gone;
         }
         in_order.resize(hosts.size());
         std::iota(in_order.begin(), in_order.end(), 0);
@@ -357,17 +357,19 @@
         pools_due = true;
     }
 
-    void list_lease(Ticks until, Ticks outage) override { list_until = until, outage_until = outage; }
+    void set_host_list_lease(Ticks until, Ticks outage) override {
+        list_until = until, outage_until = outage;
+    }
 
-    void heard(int peer, const std::string &bytes) override {
-        std::optional<Word> word = Word::unpack(bytes, terms.methods.size());
+    void receive_summary(int peer, const std::string &bytes) override {
+        std::optional<TrialSummary> word = TrialSummary::decode(bytes, terms.methods.size());
         if (!word || peer < 0 || peer >= terms.instances || peer == terms.ordinal) return;
         if (word->routers > terms.instances) return;
-        word->at = now;
+        word->received_at = now;
         words[word->routers > 1 ? ~peer : peer] = std::move(*word);
     }
 
-    void tally(const Tally &row) override {
+    void add_platform_stats(const PlatformStats &row) override {
         tallies.emplace_back(now - row.age, row);
         if (!trial_runs() || known.stage > 0) return;
         note_calm(row);
@@ -384,9 +386,9 @@
         }
         return periods > 0 ? picks / periods : 0;
     }
-    void note_calm(const Tally &row) {
+    void note_calm(const PlatformStats &row) {
         if (row.build < known.build && row.method < static_cast<int>(calm_pace.size()))
-            calm_pace[row.method].time(row.picks - row.failed, std::log(std::max(1e-4, row.latency)));
+            calm_pace[row.method].add_latency(row.picks - row.failed, std::log(std::max(1e-4, row.latency)));
     }
     // Log latency of all tallied picks since then over that when the trial began.
     double tallied_rise(Ticks since) const {
@@ -394,22 +396,22 @@
         for (const auto &[at, row] : tallies) {
             if (at < since || row.failed >= row.picks || calm_pace[row.method].timed <= 0) continue;
             const double ok = row.picks - row.failed;
-            rise += ok * (std::log(std::max(1e-4, row.latency)) - calm_pace[row.method].mean_pace());
+            rise += ok * (std::log(std::max(1e-4, row.latency)) - calm_pace[row.method].mean_log_latency());
             picks += ok;
         }
         return picks > 0 ? rise / picks : 0;
     }
 
-    void arrived(Arrival from) override {
+    void rpc_arrived(Arrival from) override {
         if (born < 0) born = now;
         taken.at(from.method).push_back(now);
         arrivals += !from.retry;
         ++earned;
-        if (terms.cell_share < 1) note_flow(from.cell, -1);
+        if (terms.default_cell_share < 1) note_flow(from.cell, -1);
         Rpc rpc{std::move(from), 0};
-        rpc.place = rpc.from.key.empty() ? rng.unit() : (mix(rpc.from.key, 7) >> 11) * 0x1p-53;
+        rpc.place = rpc.from.key.empty() ? rng.uniform() : (salted_hash(rpc.from.key, 7) >> 11) * 0x1p-53;
         rpc.over_share = !within_quota(rpc.from.tenant);
-        if (const auto size = static_cast<double>(rpc.from.size); size > 0) {
+        if (const auto size = static_cast<double>(rpc.from.size_hint); size > 0) {
             usual_size += (size - usual_size) / ++guesses;
             rpc.size = size / usual_size;
         }
@@ -419,7 +421,7 @@
         enqueue(rpcs.insert_or_assign(id, std::move(rpc)).first->second);
     }
 
-    void allow(int build, int cell, double share) override {
+    void set_cell_share(int build, int cell, double share) override {
         room_seen = {};
         if (cell < 0)
             allowed[build] = {share, {}};
@@ -429,7 +431,7 @@
 
     double share_in_cell(int build, int cell) const {
         const auto told = allowed.find(build);
-        if (told == allowed.end()) return on_trial(build) ? terms.cell_share : 1;
+        if (told == allowed.end()) return on_trial(build) ? terms.default_cell_share : 1;
         const auto at = told->second.by_cell.find(cell);
         return at == told->second.by_cell.end() ? told->second.rest : at->second;
     }
@@ -439,7 +441,8 @@
         Flow &flow = flows[cell];
         ++(build < 0 ? flow.taken : flow.at(build));
         room_seen = {};
-        passed[build >= 0].push_back({now + terms.rollout.window + (build < 0 ? -1 : 1), cell, build});
+        passed[build >= 0].push_back(
+            {now + terms.rollout.exposure_window + (build < 0 ? -1 : 1), cell, build});
     }
 
     // RPCs of a cell taken and picks of them sent to a build within the window.
@@ -464,7 +467,7 @@
             }
     }
 
-    void news(const News &told) override {
+    void update_rollout(const RolloutUpdate &told) override {
         if (told.answers_vote) vote_counts = told.valid;
         if (!told.valid) return;
         const bool other = !has_news || told.build != known.build;
@@ -481,7 +484,7 @@
             proven_since = -1;
             log("news: build %.0f stage %.0f phase %.0f", told.build, told.stage, int(told.phase));
             if (told.phase != Phase::on_trial) of(told.build).range.clear();
-            if (told.phase == Phase::going_back || told.phase == Phase::withdrawn)
+            if (told.phase == Phase::rolling_back || told.phase == Phase::withdrawn)
                 of(told.build).keys.clear();
             // Numbers only grow: it is done with.
             if (told.phase == Phase::withdrawn) sent_back.insert(told.build);
@@ -505,7 +508,7 @@
         }
     }
 
-    void flagged(const std::string &id, Ticks age) override {
+    void answer_flagged(const std::string &id, Ticks age) override {
         const auto at = host_at.find(id);
         if (at == host_at.end()) return;
         const HostEntry &entry = hosts[at->second].entry;
@@ -527,8 +530,9 @@
     }
     double warmth(const Host &host) const {
         if (host.entry.started <= 0) return 1;
-        const double grown = double(now - host.entry.started) / std::max<Ticks>(1, terms.cold_for);
-        return std::clamp(terms.cold_share + (1 - terms.cold_share) * grown, terms.cold_share, 1.0);
+        const double grown = double(now - host.entry.started) / std::max<Ticks>(1, terms.warm_up_time);
+        return std::clamp(terms.cold_capacity_share + (1 - terms.cold_capacity_share) * grown,
+                          terms.cold_capacity_share, 1.0);
     }
 
     // The released build; while one is on trial, or was withdrawn, the newest before it.
@@ -557,7 +561,7 @@
             pool.hosts.push_back(i);
             pool.upto.push_back(pool.total() + host.weight);
             for (int point = 0; point < points; ++point)
-                pool.ring.emplace_back(mix(host.entry.id, 3 + point), i);
+                pool.ring.emplace_back(salted_hash(host.entry.id, 3 + point), i);
             own[trial] += host.open;
             if (host.others_at >= 0 && host.others_at >= fresh)
                 told[trial] += host.others, there[trial] += host.weight;
@@ -589,7 +593,7 @@
 
     bool unrun(const Rpc &rpc) const {
         return std::all_of(rpc.picks.begin(), rpc.picks.end(),
-                           [](const Pick &pick) { return !pick.open && proves_unrun(pick.outcome); });
+                           [](const Pick &pick) { return !pick.open && proves_not_executed(pick.outcome); });
     }
 
     bool used(const Rpc &rpc, int target) const {
@@ -628,31 +632,31 @@
     }
 
     // Own picks of late, as peers are told of them.
-    Word own_word(Ticks since) {
-        Word word;
+    TrialSummary own_word(Ticks since) {
+        TrialSummary word;
         word.build = known.build;
-        word.traffic = lately.traffic;
+        word.first_tries = lately.traffic;
         if (calm.traffic > 0) { // else it started since and knows no calm
-            word.witnesses = 1;
-            word.calm = calm.traffic;
+            word.with_baseline = 1;
+            word.baseline_first_tries = calm.traffic;
         }
         word.trial.resize(terms.methods.size());
-        word.before.resize(terms.methods.size());
-        const auto add = [&](std::vector<Count> &to, const Sample &sample) {
+        word.earlier.resize(terms.methods.size());
+        const auto add = [&](std::vector<PickCounts> &to, const Sample &sample) {
             if (sample.at < since) return;
             to[sample.method].add(1, sample.failed);
-            if (sample.timed) to[sample.method].time(1, sample.excess);
+            if (sample.timed) to[sample.method].add_latency(1, sample.excess);
         };
         const Build &build = of(known.build);
         for (const Sample &sample : build.samples) add(word.trial, sample);
-        for (const Sample &sample : earlier) add(word.before, sample);
+        for (const Sample &sample : earlier) add(word.earlier, sample);
         word.answers.add(build.answers, build.flags);
         return word;
     }
 
     // Where keys stay, is this a build newer than another that still takes picks?
     bool keeps_keys(int build) const {
-        return terms.rollout.keys_stay && !going_back(build) && (on_trial(build) || build > least_build);
+        return terms.rollout.sticky_keys && !going_back(build) && (on_trial(build) || build > least_build);
     }
 
     // A key stays with a newer build from when it is sent there: its host may have answered before that is
@@ -672,7 +676,7 @@
             const auto at = open_keys.find(rpc.from.key);
             if (at != open_keys.end() && --at->second == 0) open_keys.erase(at);
         }
-        if (rpc.from.key.empty() || proves_unanswered(pick.outcome)) return;
+        if (rpc.from.key.empty() || proves_no_answer(pick.outcome)) return;
         const int build = std::max(pick.build, hosts[pick.host].entry.build);
         if (keeps_keys(build)) of(build).keys.insert(rpc.from.key);
     }
@@ -687,10 +691,10 @@
     }
 
     // The own word and what peers told of themselves since then; or one's sum of more of them.
-    Word pooled(Ticks told_since, Word own) const {
-        const Word *sum = nullptr;
+    TrialSummary pooled(Ticks told_since, TrialSummary own) const {
+        const TrialSummary *sum = nullptr;
         for (const auto &[peer, word] : words) {
-            if (word.build != known.build || word.at < told_since) continue;
+            if (word.build != known.build || word.received_at < told_since) continue;
             if (peer >= 0)
                 own.add(word);
             else if (!sum || word.routers > sum->routers)
@@ -701,19 +705,19 @@
 
     // What all routers saw of the trial's build beside those before it, as tallied or else as peers told;
     // latency by method, from so many picks on. Tallies that end so far apart are of two periods.
-    Evidence compare_all(const Word &word, double least, Ticks apart, Ticks late) {
+    Evidence compare_all(const TrialSummary &word, double least, Ticks apart, Ticks late) {
         Evidence told;
-        std::vector<Count> before = word.before;
+        std::vector<PickCounts> before = word.earlier;
         told.by_method = word.trial;
         told.answers = word.answers;
         told.routers = word.routers;
-        told.more = word.traffic / std::max(1e-9, word.calm);
-        told.witnesses = word.witnesses;
+        told.more = word.first_tries / std::max(1e-9, word.baseline_first_tries);
+        told.witnesses = word.with_baseline;
         std::vector<double> paces; // of methods with so many timed picks, of either build
         for (std::size_t i = 0; i < before.size(); ++i) {
-            Count both = word.before[i];
+            PickCounts both = word.earlier[i];
             both.add(word.trial[i]);
-            if (both.timed >= least) paces.push_back(both.mean_pace());
+            if (both.timed >= least) paces.push_back(both.mean_log_latency());
         }
         std::sort(paces.begin(), paces.end());
         if (!paces.empty()) told.pace = paces[(paces.size() - 1) / 2];
@@ -723,31 +727,32 @@
             told.more = tallied_rate(late, apart) / std::max(1e-9, calm_rate);
         }
         if (!tallies.empty()) told.by_method.assign(before.size(), {}), before.assign(before.size(), {});
-        std::vector<std::array<Count, 2>> periods; // the earlier builds' and the trial's
+        std::vector<std::array<PickCounts, 2>> periods; // the earlier builds' and the trial's
         Ticks ended = -1;
         for (const auto &[at, row] : tallies) {
             if (row.build > known.build) continue;
             if (periods.empty() || at > ended + apart) periods.emplace_back();
             ended = at;
             periods.back()[row.build == known.build].add(row.picks, row.failed);
-            Count &count = (row.build == known.build ? told.by_method : before).at(row.method);
+            PickCounts &count = (row.build == known.build ? told.by_method : before).at(row.method);
             count.add(row.picks, row.failed);
-            count.time(row.picks - row.failed, std::log(std::max(1e-4, row.latency)));
+            count.add_latency(row.picks - row.failed, std::log(std::max(1e-4, row.latency)));
         }
         for (std::size_t i = 0; i < before.size(); ++i) {
-            const Count &one = told.by_method[i], &other = before[i];
+            const PickCounts &one = told.by_method[i], &other = before[i];
             told.all.add(one.picks, one.failed);
             told.before.add(other.picks, other.failed);
             if (other.timed < least) continue;
-            const double before_pace = other.mean_pace();
-            told.slow += one.pace - one.timed * (tallies.empty() ? std::max(0.0, before_pace) : before_pace);
+            const double before_pace = other.mean_log_latency();
+            told.slow += one.log_latency_sum -
+                         one.timed * (tallies.empty() ? std::max(0.0, before_pace) : before_pace);
             told.timed += one.timed;
         }
-        told.usual = told.before.share();
+        told.usual = told.before.failure_share();
         // What strikes hosts of either build strikes most of a growing trial's picks, and few of the others'.
         double usual = 0, beside = told.usual, alone = 0;
         for (const auto &[others, trial] : periods) {
-            if (others.picks >= least) beside = others.share();
+            if (others.picks >= least) beside = others.failure_share();
             if (others.picks < least) alone += trial.picks;
             usual += trial.picks * beside;
         }
@@ -763,7 +768,9 @@
                kind_excess[hosts[pick.host].entry.kind];
     }
 
-    double cap(int build) const { return build == known.build ? known.cap : terms.rollout.caps.front(); }
+    double cap(int build) const {
+        return build == known.build ? known.cap : terms.rollout.stage_caps.front();
+    }
 
     void note_lateness(const Rpc &rpc, double ratio, double span, double most) {
         for (const std::size_t at : {std::size_t(rpc.from.method), terms.methods.size() + rpc.from.tenant}) {
@@ -793,7 +800,7 @@
 
     int drawn_peer(Ticks draw) const { // alike at all routers that know of the stage
         const auto salt = (std::uint64_t(known.build) << 32) + (std::uint64_t(known.stage) << 24) + draw;
-        return static_cast<int>(mix("", salt) % terms.instances);
+        return static_cast<int>(salted_hash("", salt) % terms.instances);
     }
 
     static void forget(std::deque<Ticks> &times, Ticks before) {
@@ -806,8 +813,8 @@
         for (std::size_t i = 0; i < taken.size(); ++i) {
             if (terms.rollout.cap_by_method && static_cast<int>(i) != method) continue;
             std::deque<Ticks> &picks = of(number).picked[i];
-            forget(taken[i], now - terms.rollout.window + 1);
-            forget(picks, now - terms.rollout.window - 1);
+            forget(taken[i], now - terms.rollout.exposure_window + 1);
+            forget(picks, now - terms.rollout.exposure_window - 1);
             took += static_cast<double>(taken[i].size());
             sent += static_cast<double>(picks.size());
         }
@@ -840,14 +847,14 @@
         double held = 0;
         for (const auto &[at, row] : tallies) held += row.build == known.build ? row.picks : 0;
         while (!tallies.empty() && tallies.front().first < before) {
-            const Tally &row = tallies.front().second;
+            const PlatformStats &row = tallies.front().second;
             if (row.build == known.build && (held -= row.picks) < wanted) break;
             tallies.pop_front();
         }
     }
 
-    Count count_earlier() const {
-        Count count;
+    PickCounts count_earlier() const {
+        PickCounts count;
         for (const Sample &sample : earlier) count.add(1, sample.failed);
         return count;
     }
@@ -870,7 +877,7 @@
     }
 
     // A pick that streams is the client's now: it is left alone.
-    void finished(const std::string &id, int streams) override {
+    void rpc_finished(const std::string &id, int streams) override {
         const auto found = rpcs.find(id);
         if (found == rpcs.end()) return;
         std::vector<Pick> &picks = found->second.picks;
--- a/src/terms/terms.cpp
+++ b/src/terms/terms.cpp
@@ -8,65 +8,65 @@
 
 Method read_method(const json &from) {
     Method method{};
-    method.repeat = word<Repeat>(from, "repeat",
-                                 {{"read_like", Repeat::idempotent},
-                                  {"idempotency_key", Repeat::tokened},
-                                  {"non_idempotent", Repeat::non_idempotent}});
-    method.group =
-        word<Group>(from, "group", {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
+    method.repeat_policy = word<RepeatPolicy>(from, "repeat",
+                                              {{"read_like", RepeatPolicy::idempotent},
+                                               {"idempotency_key", RepeatPolicy::tokened},
+                                               {"non_idempotent", RepeatPolicy::non_idempotent}});
+    method.token_scope = word<TokenScope>(
+        from, "group", {{"all", TokenScope::all}, {"zone", TokenScope::zone}, {"cell", TokenScope::cell}});
     method.soft_deadline = ticks(from, "aim");
-    method.window = ticks(from, "window");
+    method.token_window = ticks(from, "window");
     method.utility = number(from, "worth");
-    method.stream = flag(from, "stream");
+    method.streams_answer = flag(from, "stream");
     return method;
 }
 
-Rollout read_rollout(const json &from) {
-    Rollout rollout{};
-    rollout.advance = word<Advance>(from, "control",
-                                    {{"first_voice", Advance::any_vote},
-                                     {"by_count", Advance::share_of_votes},
-                                     {"automatic", Advance::timer}});
-    rollout.replaces = word<bool>(from, "swap", {{"parallel", false}, {"replace", true}});
+RolloutConfig read_rollout(const json &from) {
+    RolloutConfig rollout{};
+    rollout.advance_policy = word<AdvancePolicy>(from, "control",
+                                                 {{"first_voice", AdvancePolicy::any_vote},
+                                                  {"by_count", AdvancePolicy::share_of_votes},
+                                                  {"automatic", AdvancePolicy::timer}});
+    rollout.replaces_hosts = word<bool>(from, "swap", {{"parallel", false}, {"replace", true}});
     rollout.cap_by_method = word<bool>(from, "capScope", {{"all", false}, {"each_class", true}});
-    rollout.keys_stay = flag(from, "keysStay");
-    rollout.warm_keys = mark(from, "warmKeys");
+    rollout.sticky_keys = flag(from, "keysStay");
+    rollout.key_affinity = mark(from, "warmKeys");
     rollout.guarded_stages = whole(from, "guardedStages");
-    rollout.on_votes = whole(from, "toAdvance");
-    rollout.free_picks = number(from, "uncounted");
+    rollout.votes_to_advance = whole(from, "toAdvance");
+    rollout.picks_above_cap = number(from, "uncounted");
     rollout.flag_share = number(from, "flagShare");
-    rollout.window = ticks(from, "window");
-    rollout.vote_life = ticks(from, "voteTtl");
+    rollout.exposure_window = ticks(from, "window");
+    rollout.vote_lifetime = ticks(from, "voteTtl");
     if (has(from, "voteAllowance")) rollout.votes_per_s = number(from, "voteAllowance");
     if (rollout.votes_per_s < 0) wrong("voteAllowance", "below 0");
-    rollout.places = numbers(from, "rings");
-    rollout.caps = numbers(from, "stageCap");
-    if (rollout.places.empty()) wrong("rings", "empty");
-    if (rollout.caps.empty()) wrong("stageCap", "empty");
+    rollout.stage_shares = numbers(from, "rings");
+    rollout.stage_caps = numbers(from, "stageCap");
+    if (rollout.stage_shares.empty()) wrong("rings", "empty");
+    if (rollout.stage_caps.empty()) wrong("stageCap", "empty");
     return rollout;
 }
 
 } // namespace
 
-Terms read_terms(const json &profile) {
-    Terms terms{};
+DeploymentConfig read_terms(const json &profile) {
+    DeploymentConfig terms{};
     const json &allowed = need(profile, "permissions");
     const json &rules = need(profile, "rules");
     terms.instances = std::max(1, whole(profile, "instances"));
     if (has(profile, "ordinal")) terms.ordinal = place(profile, "ordinal", terms.instances);
-    terms.list_by_asking = word<bool>(profile, "membershipMode", {{"push", false}, {"ask", true}});
-    terms.may_cut = flag(allowed, "cancel");
-    terms.peers = flag(allowed, "peers");
+    terms.requests_host_list = word<bool>(profile, "membershipMode", {{"push", false}, {"ask", true}});
+    terms.may_cancel = flag(allowed, "cancel");
+    terms.exchanges_summaries = flag(allowed, "peers");
     terms.second_copies = flag(allowed, "secondCopies");
-    terms.advise_pause = flag(allowed, "retryAfter");
+    terms.advise_retry_after = flag(allowed, "retryAfter");
     terms.max_picks = whole(allowed, "maxAttempts");
-    terms.max_pause = ticks(allowed, "maxRetryAfter");
+    terms.max_retry_after = ticks(allowed, "maxRetryAfter");
     if (has(allowed, "keepalive")) terms.keepalive = ticks(allowed, "keepalive");
     if (terms.keepalive < 0) wrong("keepalive", "below 0");
-    terms.utility_by_work = word<bool>(profile, "valueBy", {{"request", false}, {"work", true}});
-    terms.cold_for = ticks(rules, "warmUp");
-    terms.overload_for = ticks(rules, "overloadFor");
-    terms.cold_share = number(rules, "coldShare");
+    terms.utility_per_work = word<bool>(profile, "valueBy", {{"request", false}, {"work", true}});
+    terms.warm_up_time = ticks(rules, "warmUp");
+    terms.overload_window = ticks(rules, "overloadFor");
+    terms.cold_capacity_share = number(rules, "coldShare");
     terms.overload_multiple = number(rules, "tipMultiple");
     for (const json &method : list(profile, "classes")) terms.methods.push_back(read_method(method));
     if (terms.methods.empty()) wrong("classes", "empty");
--- a/src/terms/terms.hpp
+++ b/src/terms/terms.hpp
@@ -5,6 +5,6 @@
 
 namespace pineridge {
 
-Terms read_terms(const json &profile);
+DeploymentConfig read_terms(const json &profile);
 
 } // namespace pineridge
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -18,12 +18,12 @@
 
 namespace {
 
-struct Act {
+struct Action {
     double at; // seconds
     std::string line, why;
 };
 
-const std::vector<Act> kScript{
+const std::vector<Action> kScript{
     {0.0, "ledger acme 5000 40", ""},
     {0.0, "ledger bern 3000 90", ""},
     {0.0, "ledger cord 2000 30", ""},
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -2,7 +2,7 @@
 #undef NDEBUG
 #include "helpers.hpp"
 
-#include "chance.hpp"
+#include "random.hpp"
 #include "state.hpp"
 
 #include <cassert>
@@ -18,14 +18,14 @@
 
 constexpr Ticks kStep = 100; // 10 ms
 
-Terms fleet_terms(int instances) {
-    Terms given = terms(Repeat::idempotent);
+DeploymentConfig fleet_terms(int instances) {
+    DeploymentConfig given = terms(RepeatPolicy::idempotent);
     given.instances = instances;
-    given.list_by_asking = true;
+    given.requests_host_list = true;
     return given;
 }
 
-std::vector<Bench> fleet(const Terms &given) {
+std::vector<Bench> fleet(const DeploymentConfig &given) {
     std::vector<Bench> routers;
     for (int i = 0; i < given.instances; ++i) {
         routers.emplace_back(given);
@@ -51,19 +51,19 @@
     void step(std::vector<Bench> &routers, Ticks now) {
         for (std::size_t i = 0; i < routers.size(); ++i) {
             routers[i].at(now);
-            if (routers[i].pull(Act::watch_list).empty()) continue;
+            if (routers[i].pull(Action::request_host_list).empty()) continue;
             line.push_back({static_cast<int>(i), now});
             ++calls;
         }
         for (const Call &call : line)
-            if (now - call.at == kPatience) ++given_up, routers[call.router].router->list_failed(-1);
+            if (now - call.at == kPatience) ++given_up, routers[call.router].router->host_list_failed(-1);
         while (!line.empty() && free_at <= now) {
             const Call call = line.front();
             line.pop_front();
             free_at = std::max(free_at, now - kStep) + kCall;
             if (now - call.at >= kPatience) continue; // worked through for nobody
             answered[call.router] = now;
-            routers[call.router].router->list({}, false);
+            routers[call.router].router->update_hosts({}, false);
         }
     }
     Ticks wait(Ticks now) const { return std::max<Ticks>(0, free_at - now) + line.size() * kCall; }
@@ -89,14 +89,14 @@
     for (Bench &one : routers) {
         one.at(0);
         one.at(600);
-        assert(one.pull(Act::watch_list).size() == 1);
-        one.router->list_failed(-1);
+        assert(one.pull(Action::request_host_list).size() == 1);
+        one.router->host_list_failed(-1);
         one.at(11000);
-        assert(one.pull(Act::watch_list).size() == 1);
+        assert(one.pull(Action::request_host_list).size() == 1);
     }
 }
 
-Tally row(int build, int method, int picks, int failed) {
+PlatformStats row(int build, int method, int picks, int failed) {
     return {.build = build, .method = method, .picks = picks, .failed = failed, .age = 0, .latency = 0.1};
 }
 
@@ -108,11 +108,11 @@
     one.news(2, 1, Phase::on_trial, 1);
     for (const bool last : {false, false, true}) {
         one.at(one.clock + 20000);
-        one.router->tally(row(1, 0, last ? 400 : 700, last ? earlier_failed : 0));
-        one.router->tally(row(2, 0, last ? 400 : 60, last ? 100 : 0));
+        one.router->add_platform_stats(row(1, 0, last ? 400 : 700, last ? earlier_failed : 0));
+        one.router->add_platform_stats(row(2, 0, last ? 400 : 60, last ? 100 : 0));
     }
     one.at(one.clock + 1000);
-    return one.pull(Act::vote);
+    return one.pull(Action::vote);
 }
 
 // Hosts begin to fail, of either build alike, as the trial's traffic grows: in each period it fails no more
@@ -121,7 +121,7 @@
 void hosts_that_fail_send_no_good_build_back() {
     std::vector<Bench> routers = fleet(fleet_terms(100));
     for (Bench &one : routers)
-        for (const Decision &made : votes_on_tallies(one, 100)) assert(made.verdict != Verdict::back);
+        for (const Decision &made : votes_on_tallies(one, 100)) assert(made.verdict != Verdict::roll_back);
 }
 
 // A good build is sent back for picks that its hosts turned away, on calm: all routers vote back on the
@@ -139,31 +139,31 @@
     enum { nothing_met, failures_met, others_must_agree };
     for (const int what : {nothing_met, failures_met, others_must_agree}) {
         const bool met = what == failures_met;
-        Terms given = fleet_terms(100);
-        if (what == others_must_agree) given.rollout.advance = Advance::share_of_votes;
+        DeploymentConfig given = fleet_terms(100);
+        if (what == others_must_agree) given.rollout.advance_policy = AdvancePolicy::share_of_votes;
         Bench one(given);
         one.at(0);
         for (int i = 0; i < 60; ++i) one.host(std::to_string(i), 1 + i % 2);
         one.news(2, 1, Phase::on_trial, 1);
         one.at(20000);
-        one.router->tally(row(1, 0, 1400, 0));
-        one.router->tally(row(2, 0, 20, 0));
+        one.router->add_platform_stats(row(1, 0, 1400, 0));
+        one.router->add_platform_stats(row(2, 0, 20, 0));
         for (int at_trial = 0; at_trial < 4;) {
             const std::string id = std::to_string(one.next++);
             one.arrive(id, one.clock + 9000);
-            for (const Decision &made : one.pull(Act::pick)) {
+            for (const Decision &made : one.pull(Action::pick)) {
                 const bool trial = std::stoi(made.host) % 2 == 1;
                 at_trial += trial;
                 const bool fails = met && trial && at_trial > 2;
-                one.end(id, 0, fails ? Outcome::fault : Outcome::ok, true);
+                one.end(id, 0, fails ? Outcome::error : Outcome::ok, true);
             }
         }
         one.at(40000);
-        one.router->tally(row(1, 0, 1000, 0));
-        one.router->tally(row(2, 0, 302, 12));
+        one.router->add_platform_stats(row(1, 0, 1000, 0));
+        one.router->add_platform_stats(row(2, 0, 302, 12));
         one.at(41000);
         bool back = false;
-        for (const Decision &made : one.pull(Act::vote)) back = back || made.verdict == Verdict::back;
+        for (const Decision &made : one.pull(Action::vote)) back = back || made.verdict == Verdict::roll_back;
         assert(back == (what != nothing_met));
     }
 }
@@ -173,7 +173,7 @@
     std::vector<Bench> routers = fleet(fleet_terms(100));
     for (Bench &one : routers) {
         const auto votes = votes_on_tallies(one, 0);
-        assert(votes.size() == 1 && votes[0].verdict == Verdict::back);
+        assert(votes.size() == 1 && votes[0].verdict == Verdict::roll_back);
     }
 }
 
@@ -188,7 +188,7 @@
         std::vector<Decision> picks;
         for (int i = 0; i < 40; ++i) {
             bench.arrive(std::to_string(i) + "f", 9000);
-            const auto made = bench.pull(Act::pick);
+            const auto made = bench.pull(Action::pick);
             assert(!made.empty());
             picks.push_back(made[0]);
         }
@@ -199,12 +199,12 @@
             const bool fails = failed < failures && (fresh || (failed >= bad && struck.count(made.host)));
             failed += fails;
             if (fails) struck.insert(made.host);
-            bench.end(made.rpc, 0, fails ? Outcome::fault : Outcome::ok, true);
+            bench.end(made.rpc, 0, fails ? Outcome::error : Outcome::ok, true);
         }
         assert(failed == failures && static_cast<int>(struck.size()) == bad);
         bench.at(bench.clock + 1000);
-        const auto votes = bench.pull(Act::vote);
-        const auto is_back = [](const Decision &made) { return made.verdict == Verdict::back; };
+        const auto votes = bench.pull(Action::vote);
+        const auto is_back = [](const Decision &made) { return made.verdict == Verdict::roll_back; };
         assert(std::any_of(votes.begin(), votes.end(), is_back) == back);
     }
 }
@@ -221,12 +221,13 @@
         left = std::min(2 * rate, left + rate * kStep / 10000.0);
         for (std::size_t i = 0; i < routers.size(); ++i) {
             routers[i].at(now);
-            for (const Decision &made : routers[i].pull(Act::vote)) {
+            for (const Decision &made : routers[i].pull(Action::vote)) {
                 ++calls;
                 const bool taken = left >= 1;
                 if (taken) left -= 1, stands_until[i] = now + life;
                 if (!taken) ++turned_away;
-                routers[i].router->news({made.build, made.stage, Phase::on_trial, true, taken, 1, 0});
+                routers[i].router->update_rollout(
+                    {made.build, made.stage, Phase::on_trial, true, taken, 1, 0});
             }
         }
     }
@@ -238,11 +239,11 @@
 // Sixteen calls a second, votes that stand ten seconds, six in ten routers that must stand at once.
 void votes_of_a_fleet_fit_what_is_taken() {
     for (const int instances : {100, 273, 1024}) {
-        Terms given = fleet_terms(instances);
+        DeploymentConfig given = fleet_terms(instances);
         given.rollout.votes_per_s = instances > 300 ? 80 : 16;
-        given.rollout.vote_life = 100000;
-        given.rollout.advance = Advance::share_of_votes;
-        given.rollout.on_votes = instances * 6 / 10;
+        given.rollout.vote_lifetime = 100000;
+        given.rollout.advance_policy = AdvancePolicy::share_of_votes;
+        given.rollout.votes_to_advance = instances * 6 / 10;
         std::vector<Bench> routers = fleet(given);
         for (Bench &one : routers) {
             one.at(0);
@@ -252,10 +253,11 @@
         Platform platform(given.rollout.votes_per_s);
         long most = 0;
         for (Ticks now = kStep; now <= 250000; now += kStep) {
-            platform.step(routers, now, given.rollout.vote_life);
+            platform.step(routers, now, given.rollout.vote_lifetime);
             most = std::max(most, platform.standing(now));
         }
-        assert(most >= given.rollout.on_votes && platform.turned_away * 2 <= platform.calls + instances);
+        assert(most >= given.rollout.votes_to_advance &&
+               platform.turned_away * 2 <= platform.calls + instances);
     }
 }
 
@@ -265,41 +267,42 @@
 void a_cold_zone_is_served_within_its_parts() {
     constexpr int kHosts = 60;
     constexpr double kRate = 5; // RPCs a second of each router but one
-    Terms given = fleet_terms(100);
-    given.cold_share = 0.4, given.overload_multiple = 4, given.overload_for = 30000, given.cold_for = 40000;
+    DeploymentConfig given = fleet_terms(100);
+    given.cold_capacity_share = 0.4, given.overload_multiple = 4, given.overload_window = 30000,
+    given.warm_up_time = 40000;
     std::vector<Bench> routers = fleet(given);
     constexpr Ticks kStart = 1000000;
     for (Bench &one : routers) {
         one.at(kStart);
         std::vector<HostEntry> hosts;
         for (int i = 0; i < kHosts; ++i)
-            hosts.push_back({std::to_string(i), 0, 0, 0, 1, Standing::ready, 1, kStart});
-        one.router->list(hosts, true);
+            hosts.push_back({std::to_string(i), 0, 0, 0, 1, HostStatus::ready, 1, kStart});
+        one.router->update_hosts(hosts, true);
     }
     std::vector<std::deque<Ticks>> sent(kHosts);
     // What a warm host serves a second where this traffic is 0.6 of what all can do.
     const double full = kRate * 104 / kHosts / 0.6;
     long asked = 0, picked = 0;
-    Pcg rng;
+    Pcg32 rng;
     rng.state = 5;
     for (Ticks now = kStart + kStep; now <= kStart + 50000; now += kStep)
         for (std::size_t i = 0; i < routers.size(); ++i) {
             Bench &one = routers[i];
             one.at(now);
             for (int n = i == 0 ? 5 : 1; n-- > 0;) {
-                if (rng.unit() >= kRate * kStep / 10000) continue;
+                if (rng.uniform() >= kRate * kStep / 10000) continue;
                 const std::string id = std::to_string(one.next++) + "r";
                 one.arrive(id, now + 20000);
                 asked += now > kStart + 20000;
-                for (const Decision &made : one.pull(Act::pick)) {
+                for (const Decision &made : one.pull(Action::pick)) {
                     std::deque<Ticks> &at = sent[std::stoi(made.host)];
                     at.push_back(now);
-                    while (at.front() < now - given.overload_for) at.pop_front();
-                    const double grown = std::min(1.0, double(now - kStart) / given.cold_for);
-                    const double n = 4 * (0.4 + 0.6 * grown) * full * given.overload_for / 10000;
+                    while (at.front() < now - given.overload_window) at.pop_front();
+                    const double grown = std::min(1.0, double(now - kStart) / given.warm_up_time);
+                    const double n = 4 * (0.4 + 0.6 * grown) * full * given.overload_window / 10000;
                     assert(at.size() <= n + 3 * std::sqrt(n) + 3);
                     picked += now > kStart + 20000;
-                    one.router->ended(id, made.pick, Outcome::ok, 800, true, {});
+                    one.router->pick_ended(id, made.pick, Outcome::ok, 800, true, {});
                 }
             }
         }
@@ -309,22 +312,22 @@
 // An instance with nothing that decides.
 struct Bare : Instance {
     using Instance::Instance;
-    void clock(Ticks at) override { now = at; }
-    void list_failed(Ticks) override {}
-    void ended(const std::string &, int, Outcome, Ticks, bool, const std::vector<double> &) override {}
-    Decision next() override { return {}; }
+    void set_time(Ticks at) override { now = at; }
+    void host_list_failed(Ticks) override {}
+    void pick_ended(const std::string &, int, Outcome, Ticks, bool, const std::vector<double> &) override {}
+    Decision next_decision() override { return {}; }
 };
 
 // A customer's quota, split among many routers, is under one RPC a second at each: what keeps within it
 // counts so, what goes beyond does not.
 void a_part_of_a_quota_under_one_adds_up() {
-    Terms given = fleet_terms(300);
+    DeploymentConfig given = fleet_terms(300);
     given.tenant_quotas = {75};
     Bare one(given, 7);
     int within = 0;
-    for (int i = 1; i <= 20; ++i) one.clock(i * 40000), within += one.within_quota(0);
+    for (int i = 1; i <= 20; ++i) one.set_time(i * 40000), within += one.within_quota(0);
     assert(within >= 19);
-    for (int i = 1; i <= 20; ++i) one.clock(800000 + i * 4000), within += one.within_quota(0);
+    for (int i = 1; i <= 20; ++i) one.set_time(800000 + i * 4000), within += one.within_quota(0);
     assert(within <= 22);
 }
 
--- a/tests/kept_keys_test.cpp
+++ b/tests/kept_keys_test.cpp
@@ -25,9 +25,9 @@
 
 namespace {
 
-Terms keys_stay() {
-    Terms given = terms(Repeat::idempotent);
-    given.rollout.keys_stay = true;
+DeploymentConfig sticky_keys() {
+    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+    given.rollout.sticky_keys = true;
     return given;
 }
 
@@ -36,20 +36,20 @@
     bench.news(2, 1, Phase::on_trial, 1);
     bench.host("new", 2);
     bench.arrive("r", 10000, "k");
-    const auto picks = bench.pull(Act::pick);
+    const auto picks = bench.pull(Action::pick);
     assert(picks.size() == 1 && picks[0].host == "new");
 }
 
 bool sent_to_earlier(Bench &bench) {
     bench.drain("new");
     bench.arrive("s", 10000, "k");
-    const auto picks = bench.pull(Act::pick);
+    const auto picks = bench.pull(Action::pick);
     return !picks.empty() && picks[0].host == "old";
 }
 
 void a_key_whose_answer_may_be_lost_stays() {
-    for (const Outcome end : {Outcome::cut, Outcome::too_slow, Outcome::undone}) {
-        Bench bench(keys_stay());
+    for (const Outcome end : {Outcome::connection_lost, Outcome::timed_out, Outcome::cancelled}) {
+        Bench bench(sticky_keys());
         pick_at_trial(bench);
         bench.end("r", 0, end, true);
         bench.host("old", 1);
@@ -58,8 +58,9 @@
 }
 
 void a_key_that_was_not_answered_is_free() {
-    for (const Outcome end : {Outcome::fault, Outcome::no_room, Outcome::no_route, Outcome::stale}) {
-        Bench bench(keys_stay());
+    for (const Outcome end :
+         {Outcome::error, Outcome::host_busy, Outcome::connect_failed, Outcome::not_sent}) {
+        Bench bench(sticky_keys());
         pick_at_trial(bench);
         bench.end("r", 0, end, true);
         bench.host("old", 1);
@@ -69,7 +70,7 @@
 
 // Its pick is still out: the host may have answered by now.
 void a_key_that_is_out_stays() {
-    Bench bench(keys_stay());
+    Bench bench(sticky_keys());
     pick_at_trial(bench);
     bench.host("old", 1);
     assert(!sent_to_earlier(bench));
@@ -78,36 +79,36 @@
 // The RPC whose pick was lost is not tried again at an earlier build either, and may be at another host of
 // the newer one.
 void a_lost_pick_is_repeated_at_its_build() {
-    Bench bench(keys_stay());
+    Bench bench(sticky_keys());
     pick_at_trial(bench);
     bench.host("old", 1);
     bench.host("old-too", 1);
-    bench.end("r", 0, Outcome::cut);
-    for (const Decision &made : bench.pull(Act::pick)) assert(made.host == "new");
+    bench.end("r", 0, Outcome::connection_lost);
+    for (const Decision &made : bench.pull(Action::pick)) assert(made.host == "new");
 }
 
 // A silent host of the trial: its RPC is not sent to an earlier build beside it, as long as it may take.
 void a_silent_pick_is_not_repeated_at_an_earlier_build() {
-    Bench bench(keys_stay());
+    Bench bench(sticky_keys());
     pick_at_trial(bench);
     bench.host("old", 1);
     bench.host("old-too", 1);
     for (Ticks at = 100; at < 9000; at += 100) {
         bench.at(at);
-        for (const Decision &made : bench.pull(Act::pick)) assert(made.rpc != "r");
+        for (const Decision &made : bench.pull(Action::pick)) assert(made.rpc != "r");
     }
 }
 
 // Sent back, the build holds no key any more, neither answered nor out.
 void a_build_sent_back_holds_no_key() {
-    Bench bench(keys_stay());
+    Bench bench(sticky_keys());
     pick_at_trial(bench);
     bench.host("old", 1);
-    bench.news(2, 1, Phase::going_back, 0);
+    bench.news(2, 1, Phase::rolling_back, 0);
     assert(sent_to_earlier(bench));
-    bench.end("r", 0, Outcome::cut, true);
+    bench.end("r", 0, Outcome::connection_lost, true);
     bench.arrive("t", 10000, "k");
-    assert(bench.pull(Act::pick).size() == 1);
+    assert(bench.pull(Action::pick).size() == 1);
 }
 
 } // namespace
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -14,170 +14,171 @@
 
 // Rule 1: the final answer comes with the deadline, once, and nothing follows it.
 void deadline_is_answered_once() {
-    Bench bench(terms(Repeat::non_idempotent));
+    Bench bench(terms(RepeatPolicy::non_idempotent));
     bench.host("a", 1);
     bench.arrive("r", 1000);
     bench.pull();
     bench.at(999);
-    assert(bench.pull(Act::abort).empty());
+    assert(bench.pull(Action::abort).empty());
     bench.at(1000);
-    assert(bench.pull(Act::abort).size() == 1);
-    bench.end("r", 0, Outcome::too_slow, true);
-    assert(bench.pull(Act::pick).empty() && bench.pull(Act::abort).empty());
+    assert(bench.pull(Action::abort).size() == 1);
+    bench.end("r", 0, Outcome::timed_out, true);
+    assert(bench.pull(Action::pick).empty() && bench.pull(Action::abort).empty());
 }
 
 // A started stream is the client's: it is not cut.
 void started_stream_is_left_alone() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.host("a", 1);
     bench.arrive("r", 1000);
     bench.pull();
-    bench.router->finished("r", 0);
-    assert(bench.pull(Act::cut).empty());
+    bench.router->rpc_finished("r", 0);
+    assert(bench.pull(Action::cancel).empty());
 }
 
 // Rule 2: a non-idempotent pick that may have run is neither repeated nor pushed back.
 void possible_effect_is_not_repeated() {
-    Bench bench(terms(Repeat::non_idempotent));
+    Bench bench(terms(RepeatPolicy::non_idempotent));
     bench.host("a", 1);
     bench.host("b", 1);
     bench.arrive("r", 10000);
     bench.pull();
-    bench.end("r", 0, Outcome::fault);
+    bench.end("r", 0, Outcome::error);
     const auto made = bench.pull();
-    assert(count(made, Act::pick) == 0 && count(made, Act::push_back) == 0 && count(made, Act::abort) == 1);
+    assert(count(made, Action::pick) == 0 && count(made, Action::push_back) == 0 &&
+           count(made, Action::abort) == 1);
 }
 
 void proof_of_no_run_allows_another_pick() {
-    Bench bench(terms(Repeat::non_idempotent));
+    Bench bench(terms(RepeatPolicy::non_idempotent));
     bench.host("a", 1);
     bench.host("b", 1);
     bench.arrive("r", 10000);
     bench.pull();
-    bench.end("r", 0, Outcome::no_room);
-    assert(bench.pull(Act::pick).size() == 1);
+    bench.end("r", 0, Outcome::host_busy);
+    assert(bench.pull(Action::pick).size() == 1);
 }
 
 // Rule 2: a tokened repeat stays inside its window, to the tick.
 void token_window_ends_repeats() {
     for (const Ticks wait : {499, 500}) {
-        Terms given = terms(Repeat::tokened);
-        given.methods[0].window = 500;
+        DeploymentConfig given = terms(RepeatPolicy::tokened);
+        given.methods[0].token_window = 500;
         Bench bench(given);
         bench.host("a", 1);
         bench.host("b", 1);
         bench.arrive("r", 10000);
         bench.pull();
         bench.at(wait);
-        bench.end("r", 0, Outcome::fault);
-        assert(bench.pull(Act::pick).size() == (wait < 500 ? 1 : 0));
+        bench.end("r", 0, Outcome::error);
+        assert(bench.pull(Action::pick).size() == (wait < 500 ? 1 : 0));
     }
 }
 
 // Rule 2: outside group all a tokened repeat stays in the cell, and is not pushed back.
 void token_group_bounds_repeats() {
-    Terms given = terms(Repeat::tokened);
-    given.methods[0].group = Group::cell;
+    DeploymentConfig given = terms(RepeatPolicy::tokened);
+    given.methods[0].token_scope = TokenScope::cell;
     Bench bench(given);
     bench.host("a", 1, 0, 1);
     bench.arrive("r", 10000);
     bench.pull();
     bench.host("b", 1, 0, 2);
     bench.drain("a");
-    bench.end("r", 0, Outcome::fault);
+    bench.end("r", 0, Outcome::error);
     const auto made = bench.pull();
-    assert(count(made, Act::pick) == 0 && count(made, Act::abort) == 1);
+    assert(count(made, Action::pick) == 0 && count(made, Action::abort) == 1);
 }
 
 // Rule 3: nothing new goes to a host once it drains.
 void draining_host_gets_nothing() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.host("a", 1);
     bench.drain("a");
     bench.arrive("r", 10000);
     const auto made = bench.pull();
-    assert(count(made, Act::pick) == 0 && count(made, Act::push_back) == 1);
+    assert(count(made, Action::pick) == 0 && count(made, Action::push_back) == 1);
 }
 
 // Rule 4: a cold host gets a few picks, not all, however many come.
 void cold_host_is_not_swamped() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.at(100000);
     bench.host("a", 1, 99990);
     for (int i = 0; i < 50; ++i) bench.arrive(std::to_string(i) + "r", 200000);
-    const auto picks = bench.pull(Act::pick).size();
+    const auto picks = bench.pull(Action::pick).size();
     assert(picks == 2 || picks == 3);
 }
 
 // Rule 4: picks since its start count though its restart is told of later.
 void picks_before_the_news_count() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.at(100000);
     bench.host("a", 1);
     for (int i = 0; i < 50; ++i) bench.arrive(std::to_string(i) + "r", 200000);
-    assert(bench.pull(Act::pick).size() == 50);
+    assert(bench.pull(Action::pick).size() == 50);
     bench.host("a", 1, 99990);
     for (int i = 0; i < 50; ++i) bench.arrive(std::to_string(i) + "s", 200000);
-    assert(bench.pull(Act::pick).empty());
+    assert(bench.pull(Action::pick).empty());
 }
 
 // Rule 4: the least allowance of many routers adds up to no more than that of one.
 void many_routers_share_the_cold_floor() {
     long picks = 0;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
-        Terms given = terms(Repeat::idempotent);
+        DeploymentConfig given = terms(RepeatPolicy::idempotent);
         given.instances = 200;
         Bench bench(given);
         bench.router = make_router(given, seed);
         bench.at(100000);
         bench.host("a", 1, 99990);
         for (int i = 0; i < 5; ++i) bench.arrive(std::to_string(i) + "r", 200000);
-        picks += static_cast<long>(bench.pull(Act::pick).size());
+        picks += static_cast<long>(bench.pull(Action::pick).size());
     }
     assert(picks <= 8);
 }
 
 // Rule 5: picks at the trial stop exactly at free picks + cap x RPCs taken, copies counted.
 void cap_bounds_the_trial() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.news(2, 0, Phase::on_trial, 0.1);
     bench.host("new", 2);
     for (int i = 0; i < 30; ++i) bench.arrive(std::to_string(i) + "r", 10000);
-    assert(bench.pull(Act::pick).size() == 2 + 3);
+    assert(bench.pull(Action::pick).size() == 2 + 3);
 }
 
 void cap_of_nothing_closes_the_trial() {
-    Bench bench(terms(Repeat::idempotent));
-    bench.news(2, 0, Phase::going_back, 0);
+    Bench bench(terms(RepeatPolicy::idempotent));
+    bench.news(2, 0, Phase::rolling_back, 0);
     bench.host("new", 2);
     bench.arrive("r", 10000);
-    assert(bench.pull(Act::pick).empty());
+    assert(bench.pull(Action::pick).empty());
 }
 
 void unannounced_build_has_the_first_cap() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.news(2, 1, Phase::released, 1);
     bench.host("newer", 3);
     for (int i = 0; i < 20; ++i) bench.arrive(std::to_string(i) + "r", 10000);
-    assert(bench.pull(Act::pick).size() == 2 + 2);
+    assert(bench.pull(Action::pick).size() == 2 + 2);
 }
 
 void guarded_stage_is_for_idempotent_only() {
-    for (const Repeat repeat : {Repeat::idempotent, Repeat::tokened}) {
-        Terms given = terms(repeat);
+    for (const RepeatPolicy repeat : {RepeatPolicy::idempotent, RepeatPolicy::tokened}) {
+        DeploymentConfig given = terms(repeat);
         given.rollout.guarded_stages = 1;
         Bench bench(given);
         bench.news(2, 0, Phase::on_trial, 1);
         bench.host("new", 2);
         bench.arrive("r", 10000);
-        assert(bench.pull(Act::pick).size() == (repeat == Repeat::idempotent ? 1 : 0));
+        assert(bench.pull(Action::pick).size() == (repeat == RepeatPolicy::idempotent ? 1 : 0));
     }
 }
 
 // Rule 5: where keys stay, one that the trial has answered goes to no earlier build.
 void answered_key_stays() {
-    Terms given = terms(Repeat::idempotent);
-    given.rollout.keys_stay = true;
+    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+    given.rollout.sticky_keys = true;
     Bench bench(given);
     bench.news(2, 0, Phase::on_trial, 1);
     bench.host("new", 2);
@@ -187,27 +188,27 @@
     bench.host("old", 1);
     bench.drain("new");
     bench.arrive("s", 10000, "k");
-    assert(bench.pull(Act::pick).empty());
+    assert(bench.pull(Action::pick).empty());
     bench.arrive("t", 10000, "other");
-    assert(bench.pull(Act::pick).size() == 1);
+    assert(bench.pull(Action::pick).size() == 1);
 }
 
 // A copy that comes back after its RPC's answer: its build has answered the key all the same.
 void a_late_copy_holds_its_key() {
-    Terms given = terms(Repeat::idempotent);
-    given.rollout.keys_stay = true;
+    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+    given.rollout.sticky_keys = true;
     Bench bench(given);
     bench.news(2, 0, Phase::on_trial, 1);
     bench.host("old", 1);
     bench.host("new", 2);
     bench.arrive("r", 10000, "k");
-    const auto made = bench.pull(Act::pick);
+    const auto made = bench.pull(Action::pick);
     assert(made.size() == 2 && made[0].host == "old" && made[1].host == "new");
     bench.end("r", 0, Outcome::ok, true);
     bench.end("r", 1, Outcome::ok, true);
     bench.drain("new");
     bench.arrive("s", 10000, "k");
-    assert(bench.pull(Act::pick).empty());
+    assert(bench.pull(Action::pick).empty());
 }
 
 // The gate: five divergences of twenty-one speak, four do not; an on needs twenty pairs or a clean three
@@ -216,8 +217,8 @@
     for (const int bad : {4, 5}) {
         Bench bench(trial_terms());
         bench.trial_with(21, bad);
-        const auto votes = bench.pull(Act::vote);
-        assert((!votes.empty() && votes[0].verdict == Verdict::back) == (bad == 5));
+        const auto votes = bench.pull(Action::vote);
+        assert((!votes.empty() && votes[0].verdict == Verdict::roll_back) == (bad == 5));
     }
 }
 
@@ -225,8 +226,8 @@
     for (const int pairs : {19, 20}) {
         Bench bench(trial_terms());
         bench.trial_with(pairs, 0);
-        const auto votes = bench.pull(Act::vote);
-        assert((!votes.empty() && votes[0].verdict == Verdict::on) == (pairs == 20));
+        const auto votes = bench.pull(Action::vote);
+        assert((!votes.empty() && votes[0].verdict == Verdict::advance) == (pairs == 20));
     }
 }
 
@@ -236,29 +237,29 @@
         bench.host("new", 2);
         bench.news(2, 0, Phase::on_trial, 1);
         bench.at(wait);
-        assert(bench.pull(Act::vote).size() == (wait > 30000 ? 1 : 0));
+        assert(bench.pull(Action::vote).size() == (wait > 30000 ? 1 : 0));
     }
 }
 
 // The release takes the earlier hosts away: it waits while a trial host is cold.
 void last_vote_waits_for_warm_hosts() {
     for (const Ticks wait : {31000, 70000}) {
-        Terms given = trial_terms();
-        given.cold_for = 100000;
+        DeploymentConfig given = trial_terms();
+        given.warm_up_time = 100000;
         Bench bench(given);
         bench.at(100000);
         bench.host("n1", 2, 100000);
         bench.host("n2", 2, 100000);
         bench.news(2, 1, Phase::on_trial, 1);
         bench.at(100000 + wait);
-        assert(bench.pull(Act::vote).size() == (wait > 60000 ? 1 : 0));
+        assert(bench.pull(Action::vote).size() == (wait > 60000 ? 1 : 0));
     }
 }
 
 // Where one of three routers' votes releases, a moment's clean figures do not: they have to last.
 void a_vote_that_releases_has_to_last() {
     for (const int instances : {1, 3}) {
-        Terms given = trial_terms();
+        DeploymentConfig given = trial_terms();
         given.instances = instances;
         Bench bench(given);
         bench.host("n1", 2);
@@ -267,8 +268,8 @@
         Ticks voted_at = 0;
         for (Ticks now = 1000; now <= 60000 && voted_at == 0; now += 1000) {
             bench.at(now);
-            for (const Decision &vote : bench.pull(Act::vote))
-                if (vote.verdict == Verdict::on) voted_at = now;
+            for (const Decision &vote : bench.pull(Action::vote))
+                if (vote.verdict == Verdict::advance) voted_at = now;
             bench.more(4, Outcome::ok);
         }
         assert(voted_at > 0);
@@ -283,15 +284,15 @@
     bench.host("only", 2);
     bench.news(2, 0, Phase::on_trial, 1);
     for (int i = 0; i < 40; ++i) bench.serve_failing_at("only");
-    for (const Decision &vote : bench.pull(Act::vote)) assert(vote.verdict != Verdict::back);
+    for (const Decision &vote : bench.pull(Action::vote)) assert(vote.verdict != Verdict::roll_back);
     bench.at(100001);
-    const auto votes = bench.pull(Act::vote);
-    assert(!votes.empty() && votes[0].verdict == Verdict::on);
+    const auto votes = bench.pull(Action::vote);
+    assert(!votes.empty() && votes[0].verdict == Verdict::advance);
 }
 
 // Copies follow what a cold trial host can bear, far under the cap.
 void copies_spare_a_cold_trial() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.at(100000);
     bench.host("old", 1);
     bench.host("new", 2, 99990);
@@ -299,17 +300,17 @@
     long copies = 0;
     for (int i = 0; i < 60; ++i) {
         bench.arrive(std::to_string(i) + "r", 200000);
-        for (const Decision &d : bench.pull(Act::pick)) copies += d.host == "new";
+        for (const Decision &d : bench.pull(Action::pick)) copies += d.host == "new";
     }
     assert(copies > 0 && copies <= 2);
 }
 
 void timer_gate_holds() {
-    Terms given = trial_terms();
-    given.rollout.advance = Advance::timer;
+    DeploymentConfig given = trial_terms();
+    given.rollout.advance_policy = AdvancePolicy::timer;
     Bench bench(given);
     bench.trial_with(12, 2);
-    const auto votes = bench.pull(Act::vote);
+    const auto votes = bench.pull(Action::vote);
     assert(votes.size() == 1 && votes[0].verdict == Verdict::hold);
 }
 
@@ -319,7 +320,7 @@
     bench.trial_with(21, 5);
     bench.pull();
     bench.more(60, Outcome::ok);
-    for (const Decision &vote : bench.pull(Act::vote)) assert(vote.verdict == Verdict::back);
+    for (const Decision &vote : bench.pull(Action::vote)) assert(vote.verdict == Verdict::roll_back);
 }
 
 // Failures of the one host among several are its own: no vote back.
@@ -328,7 +329,7 @@
     for (const char *id : {"n1", "n2", "n3", "n4"}) bench.host(id, 2);
     bench.news(2, 0, Phase::on_trial, 1);
     for (int i = 0; i < 120; ++i) bench.serve_failing_at("n1");
-    for (const Decision &vote : bench.pull(Act::vote)) assert(vote.verdict != Verdict::back);
+    for (const Decision &vote : bench.pull(Action::vote)) assert(vote.verdict != Verdict::roll_back);
 }
 
 // A build that fails one method evenly on its hosts is not taken for host trouble.
@@ -336,28 +337,28 @@
     Bench bench(trial_terms());
     for (const char *id : {"n1", "n2", "n3", "n4"}) bench.host(id, 2);
     bench.trial_with(60, 12);
-    const auto votes = bench.pull(Act::vote);
-    assert(!votes.empty() && votes[0].verdict == Verdict::back);
+    const auto votes = bench.pull(Action::vote);
+    assert(!votes.empty() && votes[0].verdict == Verdict::roll_back);
 }
 
 // Where the earlier hosts' connections break as well, breaks at the trial are the network's; failures are
 // not.
 void torn_network_is_not_the_build() {
-    for (const Outcome end : {Outcome::cut, Outcome::fault}) {
+    for (const Outcome end : {Outcome::connection_lost, Outcome::error}) {
         Bench bench(trial_terms());
         for (const char *id : {"o1", "o2", "o3"}) bench.host(id, 1);
         bench.news(1, 1, Phase::released, 1);
-        for (int i = 0; i < 300; ++i) bench.more(4, Outcome::ok), bench.more(1, Outcome::cut);
+        for (int i = 0; i < 300; ++i) bench.more(4, Outcome::ok), bench.more(1, Outcome::connection_lost);
         bench.at(90000); // what came before the network was known to break is out of the evidence
-        for (int i = 0; i < 60; ++i) bench.more(4, Outcome::ok), bench.more(1, Outcome::cut);
+        for (int i = 0; i < 60; ++i) bench.more(4, Outcome::ok), bench.more(1, Outcome::connection_lost);
         bench.at(bench.clock + 1000);
         for (const char *id : {"o1", "o2", "o3"}) bench.drain(id);
         bench.trial_with(60, 0);
         for (int i = 0; i < 40; ++i) bench.more(1, Outcome::ok), bench.more(1, end);
         bench.at(bench.clock + 2000);
-        const auto votes = bench.pull(Act::vote);
-        const bool back = !votes.empty() && votes[0].verdict == Verdict::back;
-        assert(back == (end == Outcome::fault));
+        const auto votes = bench.pull(Action::vote);
+        const bool back = !votes.empty() && votes[0].verdict == Verdict::roll_back;
+        assert(back == (end == Outcome::error));
     }
 }
 
@@ -366,16 +367,17 @@
     for (const int flags : {1, 12}) {
         Bench bench(trial_terms());
         bench.trial_with(21, 0);
-        for (int i = 0; i < flags; ++i) bench.router->flagged("new", 0);
+        for (int i = 0; i < flags; ++i) bench.router->answer_flagged("new", 0);
         bool back = false;
-        for (const Decision &vote : bench.pull(Act::vote)) back = back || vote.verdict == Verdict::back;
+        for (const Decision &vote : bench.pull(Action::vote))
+            back = back || vote.verdict == Verdict::roll_back;
         assert(back == (flags == 12));
     }
 }
 
 // Fast failures do not draw picks: after a few in a row the host rests.
 void fast_failing_host_rests() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.host("bad", 1);
     bench.host("good", 1);
     int at_bad = 0;
@@ -389,17 +391,18 @@
         Bench bench(trial_terms());
         for (const char *id : {"n1", "n2", "n3", "n4"}) bench.host(id, 2);
         bench.trial_with(21, 0);
-        bench.more(40, Outcome::too_slow, took);
+        bench.more(40, Outcome::timed_out, took);
         bench.at(bench.clock + 1000);
         bool back = false;
-        for (const Decision &vote : bench.pull(Act::vote)) back = back || vote.verdict == Verdict::back;
+        for (const Decision &vote : bench.pull(Action::vote))
+            back = back || vote.verdict == Verdict::roll_back;
         assert(back == (took == 4000));
     }
 }
 
 // A host that takes no connection is left for one that does, and the RPC is not the worse for it.
 void refusing_host_is_left() {
-    Bench bench(terms(Repeat::non_idempotent));
+    Bench bench(terms(RepeatPolicy::non_idempotent));
     bench.host("full", 1);
     bench.host("open", 1);
     int refused = 0;
@@ -407,51 +410,52 @@
         bench.at(bench.clock + 50);
         const std::string id = std::to_string(i) + "c";
         bench.arrive(id, bench.clock + 9000);
-        auto picks = bench.pull(Act::pick);
+        auto picks = bench.pull(Action::pick);
         for (int pick = 0; !picks.empty() && picks[0].host == "full"; ++pick, ++refused) {
-            bench.end(id, pick, Outcome::no_route);
-            picks = bench.pull(Act::pick);
+            bench.end(id, pick, Outcome::connect_failed);
+            picks = bench.pull(Action::pick);
         }
         assert(!picks.empty());
-        bench.router->ended(id, static_cast<int>(picks[0].pick), Outcome::ok, 100, true, {});
+        bench.router->pick_ended(id, static_cast<int>(picks[0].pick), Outcome::ok, 100, true, {});
     }
     assert(refused < 10);
 }
 
 // One of many routers spreads its picks over hosts by weight, not all on the largest.
 void many_routers_do_not_herd() {
-    Terms given = terms(Repeat::idempotent);
+    DeploymentConfig given = terms(RepeatPolicy::idempotent);
     given.instances = 100;
     Bench bench(given);
     for (int i = 0; i < 40; ++i)
-        bench.router->list({{std::to_string(i), 0, 0, 0, 1, Standing::ready, i < 10 ? 3.0 : 2.0, 0}}, false);
+        bench.router->update_hosts(
+            {{std::to_string(i), 0, 0, 0, 1, HostStatus::ready, i < 10 ? 3.0 : 2.0, 0}}, false);
     int at_large = 0;
     for (int i = 0; i < 400; ++i) {
         bench.at(bench.clock + 50);
         bench.arrive(std::to_string(i) + "h", bench.clock + 900000);
-        for (const Decision &pick : bench.pull(Act::pick)) at_large += std::stoi(pick.host) < 10;
+        for (const Decision &pick : bench.pull(Action::pick)) at_large += std::stoi(pick.host) < 10;
     }
     assert(at_large > 80 && at_large < 200);
 }
 
 // A router with room for ten open picks pushes back what is beyond, and keeps some for further picks.
 void want_of_room_pushes_back() {
-    Terms given = terms(Repeat::idempotent);
-    given.room = 10;
+    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+    given.max_open_picks = 10;
     Bench bench(given);
     bench.host("a", 1), bench.host("b", 1);
     for (int i = 0; i < 20; ++i) bench.arrive(std::to_string(i) + "w", 900000);
     const std::vector<Decision> made = bench.pull();
-    assert(count(made, Act::pick) == 5 && count(made, Act::push_back) == 15);
+    assert(count(made, Action::pick) == 5 && count(made, Action::push_back) == 15);
 }
 
 // Where there are three stages, a trickle of what must never run twice meets the build in the last one, so
 // that one which fails it alone is found before its release; none does in the stage before.
 void the_last_stage_meets_every_method() {
     for (const int stage : {1, 2}) {
-        Terms given = terms(Repeat::non_idempotent);
-        given.rollout.places = {0.1, 0.6, 1};
-        given.rollout.caps = {0.1, 0.7, 1};
+        DeploymentConfig given = terms(RepeatPolicy::non_idempotent);
+        given.rollout.stage_shares = {0.1, 0.6, 1};
+        given.rollout.stage_caps = {0.1, 0.7, 1};
         Bench bench(given);
         bench.host("old", 1);
         bench.host("new", 2);
@@ -460,9 +464,9 @@
         for (int i = 0; i < 200; ++i) {
             bench.at(bench.clock + 100);
             bench.arrive(std::to_string(i) + "u", bench.clock + 9000);
-            for (const Decision &made : bench.pull(Act::pick)) {
+            for (const Decision &made : bench.pull(Action::pick)) {
                 there += made.host == "new";
-                bench.end(made.rpc, 0, made.host == "new" ? Outcome::fault : Outcome::ok, true);
+                bench.end(made.rpc, 0, made.host == "new" ? Outcome::error : Outcome::ok, true);
             }
         }
         assert(stage == 1 ? there == 0 : there > 0 && there < 80);
@@ -472,7 +476,7 @@
 // The earlier host is in a jam: what is drawn for the trial's idle hosts goes there all the same.
 void jam_of_the_earlier_hosts_spares_the_trial() {
     for (const bool trial : {false, true}) {
-        Bench bench(terms(Repeat::idempotent));
+        Bench bench(terms(RepeatPolicy::idempotent));
         bench.host("o", 1);
         bench.news(1, 1, Phase::released, 1);
         for (int i = 0; i < 60; ++i) bench.at(bench.clock + 500), bench.more(1, Outcome::ok, 3900);
@@ -482,12 +486,12 @@
         for (int i = 0; i < 6; ++i) bench.at(bench.clock + 1000), bench.pull();
         bench.arrive("next", 900000);
         const auto made = bench.pull();
-        assert(count(made, Act::pick) == trial && count(made, Act::push_back) == !trial);
+        assert(count(made, Action::pick) == trial && count(made, Action::push_back) == !trial);
     }
 }
 
 void same_events_give_same_picks() {
-    Bench first(terms(Repeat::idempotent)), second(terms(Repeat::idempotent));
+    Bench first(terms(RepeatPolicy::idempotent)), second(terms(RepeatPolicy::idempotent));
     for (Bench *bench : {&first, &second})
         for (const char *id : {"a", "b", "c"}) bench->host(id, 1);
     for (int i = 0; i < 40; ++i) assert(first.serve_failing_at("a") == second.serve_failing_at("a"));
@@ -503,10 +507,10 @@
         news(1, 1, Phase::released, 1);
         pull();
     }
-    static Terms given() {
-        Terms terms = trial_terms();
+    static DeploymentConfig given() {
+        DeploymentConfig terms = trial_terms();
         terms.instances = 300;
-        terms.rollout.warm_keys = true;
+        terms.rollout.key_affinity = true;
         return terms;
     }
     // Served RPCs, one each so many ticks: the hosts that had one.
@@ -517,7 +521,8 @@
             const std::string id = "r" + std::to_string(++asked);
             arrive(id, clock + 20000, "k" + std::to_string(asked));
             for (const Decision &made : pull())
-                if (made.act == Act::pick) met.insert(made.host), end(made.rpc, made.pick, Outcome::ok, true);
+                if (made.action == Action::pick)
+                    met.insert(made.host), end(made.rpc, made.pick, Outcome::ok, true);
             pull();
         }
         return met;
@@ -559,10 +564,10 @@
         const std::string id = "r" + std::to_string(++next);
         bench.at(bench.clock + 1000);
         if (!only.empty()) bench.drain(only == "a" ? "b" : "a");
-        bench.router->arrived({id, 0, 0, "", bench.clock + 9000, false, -1, size});
-        for (const Decision &made : bench.pull(Act::pick)) {
+        bench.router->rpc_arrived({id, 0, 0, "", bench.clock + 9000, false, -1, size});
+        for (const Decision &made : bench.pull(Action::pick)) {
             at_a += made.host == "a";
-            bench.router->ended(id, made.pick, Outcome::ok, size, true, {});
+            bench.router->pick_ended(id, made.pick, Outcome::ok, size, true, {});
         }
         bench.host("a", 1);
         bench.host("b", 1);
@@ -577,17 +582,17 @@
 void a_large_rpc_goes_by_a_fast_machine() {
     Bench bench(trial_terms());
     for (int i = 0; i < 4; ++i)
-        bench.router->list({{std::to_string(i), 0, i % 2, 0, 1, Standing::ready, 1, 0}}, false);
+        bench.router->update_hosts({{std::to_string(i), 0, i % 2, 0, 1, HostStatus::ready, 1, 0}}, false);
     bench.news(1, 1, Phase::released, 1);
     int fast = 0, next = 0;
     const auto serve = [&](Ticks size) {
         const std::string id = "r" + std::to_string(++next);
         bench.at(bench.clock + 1000);
-        bench.router->arrived({id, 0, 0, "", bench.clock + 9000, false, -1, size});
-        for (const Decision &made : bench.pull(Act::pick)) {
+        bench.router->rpc_arrived({id, 0, 0, "", bench.clock + 9000, false, -1, size});
+        for (const Decision &made : bench.pull(Action::pick)) {
             const bool slow = made.host == "1" || made.host == "3";
             fast += !slow;
-            bench.router->ended(id, made.pick, Outcome::ok, size * (slow ? 16 : 10) / 10, true, {});
+            bench.router->pick_ended(id, made.pick, Outcome::ok, size * (slow ? 16 : 10) / 10, true, {});
         }
     };
     for (int i = 0; i < 400; ++i) serve(i % 10 ? 400 : 1600);
@@ -607,7 +612,7 @@
         const std::string id = "k" + std::to_string(i);
         one.arrive(id, one.clock + 20000, "key");
         for (const Decision &made : one.pull())
-            if (made.act == Act::pick) ++met[made.host], one.end(id, made.pick, Outcome::ok, true);
+            if (made.action == Action::pick) ++met[made.host], one.end(id, made.pick, Outcome::ok, true);
     }
     int most = 0;
     for (const auto &[host, count] : met) most = std::max(most, count);
--- a/tests/membership/blocking_test.cpp
+++ b/tests/membership/blocking_test.cpp
@@ -231,7 +231,7 @@
     world.until([&] { return world.said("doubt: 4 of 4"); });
     assert(world.said("counts anew") && world.text() == "a+b+c+d+");
     world.registry().put(World::key("a"), host_value("terminating")); // told one by one: never doubted
-    world.until([&] { return world.list["a"] == Standing::draining; });
+    world.until([&] { return world.list["a"] == HostStatus::draining; });
     world.until_list("a-");
 }
 
--- a/tests/membership/fleet.hpp
+++ b/tests/membership/fleet.hpp
@@ -89,7 +89,7 @@
     void take(const Listing &listing) {
         told_ += listing.members.size();
         for (const Member &member : listing.members)
-            if (member.entry.standing == Standing::draining) {
+            if (member.entry.status == HostStatus::draining) {
                 const std::lock_guard hold(lock_);
                 times_.push_back(ticks_since(began_) - member.entry.started);
             }
--- a/tests/membership/list_value.hpp
+++ b/tests/membership/list_value.hpp
@@ -11,8 +11,8 @@
     if (!from.is_object()) wrong("value", "not an object");
     Member member{};
     member.entry.id = key.substr(key.rfind('/') + 1);
-    member.entry.standing =
-        word<Standing>(from, "state", {{"in_service", Standing::ready}, {"terminating", Standing::draining}});
+    member.entry.status = word<HostStatus>(
+        from, "state", {{"in_service", HostStatus::ready}, {"terminating", HostStatus::draining}});
     member.entry.started = whole(from, "started_ms");
     return member;
 }
--- a/tests/membership/property_test.cpp
+++ b/tests/membership/property_test.cpp
@@ -50,7 +50,7 @@
         record.fault = "spoilt";
         registry.held[record.key] = record;
     } else {
-        const Standing standing = move.way < 5 ? Standing::draining : Standing::ready;
+        const HostStatus standing = move.way < 5 ? HostStatus::draining : HostStatus::ready;
         record.member = Member{{record.key, 0, 0, 0, 1, standing, 1, registry.rev}, {}};
         registry.held[record.key] = record;
     }
@@ -58,15 +58,15 @@
 }
 
 // What the module holds: by id, the standing and the start.
-using Module = std::map<std::string, std::pair<Standing, Ticks>>;
+using Module = std::map<std::string, std::pair<HostStatus, Ticks>>;
 
 void take(View &view, Module &module) {
     while (const auto listing = view.take())
         for (const Member &member : listing->members) {
-            if (member.entry.standing == Standing::gone)
+            if (member.entry.status == HostStatus::gone)
                 module.erase(member.entry.id);
             else
-                module[member.entry.id] = {member.entry.standing, member.entry.started};
+                module[member.entry.id] = {member.entry.status, member.entry.started};
         }
 }
 
@@ -124,7 +124,7 @@
             for (int i = 0; i <= move.way && told < registry.log.size(); ++i, ++told) {
                 const Record &word = registry.log[told];
                 view.change(word);
-                if (word.gone || (word.member && word.member->entry.standing == Standing::draining))
+                if (word.gone || (word.member && word.member->entry.status == HostStatus::draining))
                     drained[word.key] = word.rev;
                 else if (word.member)
                     drained.erase(word.key);
@@ -139,7 +139,7 @@
         }
         take(view, module);
         for (const auto &[key, rev] : drained)
-            hold(!module.count(key) || module[key].first != Standing::ready || module[key].second > rev,
+            hold(!module.count(key) || module[key].first != HostStatus::ready || module[key].second > rev,
                  "a drain that was told is honoured at once");
     }
     // In the end a whole read, twice, and all time: the view equals the registry.
@@ -153,7 +153,7 @@
     for (const auto &[key, record] : registry.held) {
         if (!record.member) continue;
         hold(module.count(key) == 1, "every host of the registry is in the view");
-        hold(module[key] == std::pair(record.member->entry.standing, record.member->entry.started),
+        hold(module[key] == std::pair(record.member->entry.status, record.member->entry.started),
              "as the registry has it");
     }
     for (const auto &[key, one] : module)
--- a/tests/membership/source_world.hpp
+++ b/tests/membership/source_world.hpp
@@ -43,10 +43,10 @@
     void take(const Listing &told) {
         for (const Member &member : told.members) {
             const std::string &id = member.entry.id;
-            if (member.entry.standing == Standing::gone)
+            if (member.entry.status == HostStatus::gone)
                 list.erase(id);
             else
-                list[id] = member.entry.standing;
+                list[id] = member.entry.status;
         }
     }
     void until(const std::function<bool()> &held,
@@ -56,7 +56,7 @@
     }
     std::string text() const { // "a+b-": a is ready, b drains
         std::string all;
-        for (const auto &[id, standing] : list) all += id + (standing == Standing::ready ? "+" : "-");
+        for (const auto &[id, standing] : list) all += id + (standing == HostStatus::ready ? "+" : "-");
         return all;
     }
     void until_list(const std::string &wanted,
@@ -70,7 +70,7 @@
     std::ostringstream logged;
     Log log;
     Limits limits{};
-    std::map<std::string, Standing> list;
+    std::map<std::string, HostStatus> list;
     std::optional<Source> source;
     bool stopped = false;
 };
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-Record host(const std::string &id, std::int64_t rev, Standing standing = Standing::ready, Ticks started = 0) {
+Record host(const std::string &id, std::int64_t rev, HostStatus standing = HostStatus::ready,
+            Ticks started = 0) {
     Record record;
     record.key = "hosts/" + id;
     record.rev = rev;
@@ -49,7 +50,7 @@
             for (const Member &member : listing->members) {
                 static constexpr const char *kWords[] = {"", "gone", "draining", "ready"};
                 text += (text.empty() ? "" : " ") + member.entry.id + ":" +
-                        kWords[static_cast<int>(member.entry.standing)];
+                        kWords[static_cast<int>(member.entry.status)];
             }
         return text;
     }
@@ -64,7 +65,7 @@
     bench.read(10, {host("a", 3), host("b", 4)});
     assert(bench.take() == "a:ready b:ready" && bench.view.ask() == Ask::resume &&
            bench.view.revision() == 10);
-    bench.view.change(host("a", 11, Standing::draining));
+    bench.view.change(host("a", 11, HostStatus::draining));
     bench.view.change(host("c", 12));
     assert(bench.take() == "a:draining c:ready" && bench.view.revision() == 12);
     bench.view.change(gone("a", 13));
@@ -75,9 +76,9 @@
     Bench bench;
     bench.read(10, {host("a", 3)});
     bench.take();
-    bench.view.change(host("a", 12, Standing::draining));
+    bench.view.change(host("a", 12, HostStatus::draining));
     bench.view.change(host("a", 11)); // crossed: told by the old watch after the new one began
-    bench.view.change(host("a", 12, Standing::draining));
+    bench.view.change(host("a", 12, HostStatus::draining));
     assert(bench.take() == "a:draining");
     bench.view.change(gone("a", 14));
     bench.view.change(host("a", 13));
@@ -94,7 +95,7 @@
     assert(bench.view.ask() == Ask::resume);
     bench.view.compacted();
     assert(bench.view.ask() == Ask::whole);
-    bench.read(90, {host("a", 50, Standing::draining), host("c", 5), host("d", 6)});
+    bench.read(90, {host("a", 50, HostStatus::draining), host("c", 5), host("d", 6)});
     assert(bench.take() == "b:gone a:draining c:ready d:ready");
 }
 
@@ -104,7 +105,7 @@
     bench.take();
     bench.view.begin_read();
     bench.view.page({host("a", 3)}); // a page from before the drain
-    bench.view.change(host("a", 12, Standing::draining));
+    bench.view.change(host("a", 12, HostStatus::draining));
     assert(bench.take() == "a:draining");
     bench.view.page({host("b", 4)});
     bench.view.end_read(11);
@@ -112,7 +113,7 @@
     bench.view.begin_read();
     bench.view.change(gone("b", 13));
     assert(bench.take() == "b:gone");
-    bench.view.page({host("a", 12, Standing::draining), host("b", 4)});
+    bench.view.page({host("a", 12, HostStatus::draining), host("b", 4)});
     bench.view.end_read(12);
     assert(bench.take().find("b:ready") == std::string::npos);
 }
@@ -130,7 +131,7 @@
 void a_member_that_lags_is_not_believed() {
     Bench bench;
     bench.read(10, {host("a", 3)});
-    bench.view.change(host("a", 20, Standing::draining));
+    bench.view.change(host("a", 20, HostStatus::draining));
     bench.take();
     bench.read(15, {host("a", 3), host("b", 12)});
     assert(bench.take().empty() && bench.view.ask() == Ask::elsewhere);
@@ -140,12 +141,12 @@
 
 void a_process_that_returns_is_another() {
     Bench bench;
-    bench.read(10, {host("a", 3, Standing::ready, 100)});
+    bench.read(10, {host("a", 3, HostStatus::ready, 100)});
     bench.take();
     bench.view.change(gone("a", 11));
-    bench.view.change(host("a", 12, Standing::ready, 900));
+    bench.view.change(host("a", 12, HostStatus::ready, 900));
     const auto listing = bench.view.take();
-    assert(listing && listing->members.size() == 2 && listing->members[0].entry.standing == Standing::gone);
+    assert(listing && listing->members.size() == 2 && listing->members[0].entry.status == HostStatus::gone);
     assert(listing->members[1].entry.started == 900);
 }
 
@@ -156,7 +157,7 @@
     bench.view.change(spoilt("a", 11));
     bench.view.change(spoilt("a", 12));
     assert(bench.take().empty() && bench.view.unreadable() == 3 && bench.view.take_lines().size() == 2);
-    bench.view.change(host("a", 13, Standing::draining));
+    bench.view.change(host("a", 13, HostStatus::draining));
     assert(bench.take() == "a:draining");
 }
 
@@ -203,7 +204,7 @@
     bench.read(11, {});
     bench.view.change(gone("a", 12));
     assert(bench.take() == "a:gone");
-    bench.view.change(host("b", 13, Standing::draining));
+    bench.view.change(host("b", 13, HostStatus::draining));
     assert(bench.take() == "b:draining");
 }
 
@@ -219,7 +220,7 @@
     Bench bench;
     bench.view.start_from({host("a", 99), host("b", 99)});
     assert(bench.take() == "a:ready b:ready" && bench.view.age() < 0 && !bench.view.synced());
-    bench.read(10, {host("a", 3, Standing::draining)});
+    bench.read(10, {host("a", 3, HostStatus::draining)});
     assert(bench.take() == "b:gone a:draining");
 }
 
@@ -230,17 +231,17 @@
     rules.lag_for = 1000;
     Bench bench(rules);
     bench.read(10, {host("a", 3), host("b", 4)});
-    bench.view.change(host("a", 11, Standing::draining));
+    bench.view.change(host("a", 11, HostStatus::draining));
     bench.take();
     bench.read(5, {host("a", 3), host("b", 4)});
     assert(bench.view.ask() == Ask::elsewhere);
     bench.pass(1000);
     bench.read(5, {host("a", 3), host("b", 4)});
     assert(bench.take() == "a:draining b:ready" && bench.view.revision() == 5);
-    bench.view.change(host("a", 6, Standing::ready, 700));
+    bench.view.change(host("a", 6, HostStatus::ready, 700));
     assert(bench.take() == "a:ready"); // it has started again
     Bench fresh;
-    fresh.view.start_from({host("a", 9, Standing::draining)});
+    fresh.view.start_from({host("a", 9, HostStatus::draining)});
     fresh.read(10, {host("a", 10)});
     assert(fresh.take() == "a:ready");
 }
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -160,9 +160,9 @@
     std::string text() {
         if (const auto told = view.take())
             for (const Member &member : told->members)
-                member.entry.standing == Standing::gone
+                member.entry.status == HostStatus::gone
                     ? void(list.erase(member.entry.id))
-                    : void(list[member.entry.id] = member.entry.standing == Standing::ready ? '+' : '-');
+                    : void(list[member.entry.id] = member.entry.status == HostStatus::ready ? '+' : '-');
         std::string all;
         for (const auto &[id, sign] : list) all += id + sign;
         return all;
--- a/tests/rehearsal/loopback_test.cpp
+++ b/tests/rehearsal/loopback_test.cpp
@@ -44,7 +44,7 @@
         if (rehearsing) {
             // The other shape has no room for a pick: each RPC would be pushed back.
             town.start.rehearsed = town.start.terms;
-            town.start.rehearsed->room = 0;
+            town.start.rehearsed->max_open_picks = 0;
         }
         town.service.emplace(town.io, town.path, town.environment, town.start, town.log, [] {});
         answers[rehearsing] = asked(town);
@@ -105,7 +105,7 @@
     given["permissions"].erase("keepalive");
     json spelled = given;
     spelled["permissions"]["keepalive"] = 0;
-    const Terms terms = read_terms(given), again = read_terms(spelled);
+    const DeploymentConfig terms = read_terms(given), again = read_terms(spelled);
     assert(terms.ordinal < 0 && again.ordinal < 0 && terms.keepalive == 0 && again.keepalive == 0);
 }
 
