--- a/tests/release/plan_test.cpp
+++ b/tests/release/plan_test.cpp
@@ -449,11 +449,11 @@
 void a_cell_advances_only_by_evidence_of_its_own() {
     Bench bench;
     bench.offer(kSeven);
-    bench.plan.verdict(7, Verdict::on);
-    assert(said(bench) == (Said{{0, Verdict::on}, {1, Verdict::on}}));
+    bench.plan.verdict(7, Verdict::advance);
+    assert(said(bench) == (Said{{0, Verdict::advance}, {1, Verdict::advance}}));
     bench.stage_all(kSeven, 1);
     for (int i = 0; i < 5; ++i) bench.plan.seen(7, 0);
-    assert(said(bench) == (Said{{0, Verdict::on}}));
+    assert(said(bench) == (Said{{0, Verdict::advance}}));
     assert(said(bench).empty()); // given again after the renewal time
     bench.pass(40000);
     assert(bench.opinions().size() == 1);
@@ -464,17 +464,17 @@
     bench.offer(kSeven);
     bench.plan.verdict(7, Verdict::hold);
     assert(said(bench).empty());
-    bench.plan.verdict(7, Verdict::on);
+    bench.plan.verdict(7, Verdict::advance);
     bench.freeze("f", "", "c0");
-    assert(said(bench) == (Said{{1, Verdict::on}}));
+    assert(said(bench) == (Said{{1, Verdict::advance}}));
 }
 
 void a_verdict_back_asks_for_all_cells() {
     Bench bench;
     bench.offer(kSeven);
     bench.stage_all(kSeven, 1);
-    bench.plan.verdict(7, Verdict::back);
-    assert(said(bench) == (Said{{-1, Verdict::back}}));
+    bench.plan.verdict(7, Verdict::roll_back);
+    assert(said(bench) == (Said{{-1, Verdict::roll_back}}));
 }
 
 void a_cell_that_went_back_by_itself_asks_the_desk_to_follow() {
@@ -484,7 +484,7 @@
     bench.offer(kSeven, {need(kThree, 3, true)});
     bench.stage(kSeven, 0, 1);
     bench.pull(kThree);
-    assert(said(bench) == (Said{{0, Verdict::back}}));
+    assert(said(bench) == (Said{{0, Verdict::roll_back}}));
 }
 
 void a_wave_waits_for_the_one_before() {
@@ -494,12 +494,12 @@
     given.evidence = 0;
     Bench bench(given);
     bench.offer(kSeven);
-    bench.plan.verdict(7, Verdict::on);
-    assert(said(bench) == (Said{{0, Verdict::on}}));
+    bench.plan.verdict(7, Verdict::advance);
+    assert(said(bench) == (Said{{0, Verdict::advance}}));
     bench.stage(kSeven, 0, 2);
-    assert(said(bench) == (Said{{0, Verdict::on}})); // z1/c0 has not followed
+    assert(said(bench) == (Said{{0, Verdict::advance}})); // z1/c0 has not followed
     bench.stage(kSeven, 2, 2);
-    assert(said(bench) == (Said{{1, Verdict::on}}));
+    assert(said(bench) == (Said{{1, Verdict::advance}}));
 }
 
 // A customer that asks nothing holds up nobody, and gets no stage without evidence when it comes back.
@@ -508,11 +508,11 @@
     given.order = Order::customers;
     Bench bench(given);
     bench.offer(kSeven);
-    bench.plan.verdict(7, Verdict::on);
+    bench.plan.verdict(7, Verdict::advance);
     bench.stage(kSeven, 0, 1);
     bench.pass(599000);
     assert(bench.opinions().empty());
-    assert(said(bench) == (Said{{1, Verdict::on}}));
+    assert(said(bench) == (Said{{1, Verdict::advance}}));
     bench.plan.arrived(0);
     bench.pass(50000);
     assert(bench.opinions().empty()); // it is heard again: the next wave waits, its own stage lacks evidence
@@ -560,7 +560,7 @@
     const auto changes = bench.plan.take_changes();
     assert(changes.size() == (500 + 6) / 7); // those of z0
     for (const Change &change : changes) assert(change.cell < 500 && change.share == 0.05);
-    bench.plan.verdict(1, Verdict::on);
+    bench.plan.verdict(1, Verdict::advance);
     for (int i = 0; i < 100000; ++i) bench.plan.arrived(i % 500), bench.plan.seen(1, i % 500);
     bench.pass(1000);
     for (const Opinion &opinion : bench.opinions())
--- a/tests/release/wire_test.cpp
+++ b/tests/release/wire_test.cpp
@@ -97,11 +97,11 @@
     Scheme scheme;
     scheme.zones = {{"a"}, {"b"}};
     scheme.customers = {{"x"}, {"y"}};
-    const json said = json::parse(write_opinion({{"booking", 7}, 3, 2, Verdict::on, 41}, scheme, "n1"));
+    const json said = json::parse(write_opinion({{"booking", 7}, 3, 2, Verdict::advance, 41}, scheme, "n1"));
     assert(said ==
            json::parse(R"({"router":"n1","service":"booking","build":7,"zone":"b","customer":"y","stage":2,
         "verdict":"on","rev":41})"));
-    assert(!json::parse(write_opinion({{"booking", 7}, -1, 0, Verdict::back, 41}, scheme, "n1"))
+    assert(!json::parse(write_opinion({{"booking", 7}, -1, 0, Verdict::roll_back, 41}, scheme, "n1"))
                 .contains("zone"));
 }
 
--- a/tests/shape_test.cpp
+++ b/tests/shape_test.cpp
@@ -15,19 +15,19 @@
 
 namespace {
 
-Terms many(int instances = 100, std::size_t methods = 2) {
-    Terms given = terms(Repeat::idempotent);
+DeploymentConfig many(int instances = 100, std::size_t methods = 2) {
+    DeploymentConfig given = terms(RepeatPolicy::idempotent);
     given.instances = instances;
     given.methods.assign(methods, given.methods[0]);
     given.rollout.flag_share = 0;
-    given.rollout.places = {0.05, 0.2, 0.5, 1};
-    given.rollout.caps = {0.07, 0.28, 0.7, 1};
+    given.rollout.stage_shares = {0.05, 0.2, 0.5, 1};
+    given.rollout.stage_caps = {0.07, 0.28, 0.7, 1};
     return given;
 }
 
 bool votes_back(Bench &bench) {
     bool back = false;
-    for (const Decision &vote : bench.pull(Act::vote)) back = back || vote.verdict == Verdict::back;
+    for (const Decision &vote : bench.pull(Action::vote)) back = back || vote.verdict == Verdict::roll_back;
     return back;
 }
 
@@ -38,19 +38,19 @@
 void period(Bench &bench, const std::vector<Row> &rows) {
     bench.at(bench.clock + 20000);
     for (const Row &row : rows)
-        bench.router->tally({row.build, row.method, row.picks, row.failed, 0, row.latency});
+        bench.router->add_platform_stats({row.build, row.method, row.picks, row.failed, 0, row.latency});
 }
 
-Bench trial(const Terms &given, int stage = 1) {
+Bench trial(const DeploymentConfig &given, int stage = 1) {
     Bench bench(given);
     for (int i = 0; i < 8; ++i)
         bench.host("o" + std::to_string(i), 1), bench.host("n" + std::to_string(i), 2);
     bench.news(1, 3, Phase::released, 1);
     bench.at(1000);
     period(bench, {{1, 0, 50, 0}, {1, 1, 50, 0}});
-    bench.news(2, 0, Phase::on_trial, given.rollout.caps[0]);
+    bench.news(2, 0, Phase::on_trial, given.rollout.stage_caps[0]);
     period(bench, {{1, 0, 50, 0}, {1, 1, 50, 0}});
-    bench.news(2, stage, Phase::on_trial, given.rollout.caps[stage]);
+    bench.news(2, stage, Phase::on_trial, given.rollout.stage_caps[stage]);
     return bench;
 }
 
@@ -139,7 +139,7 @@
 // One slow or failed answer of a host that this router hardly ever hears of does not make it sick.
 void hosts_hardly_heard_of_are_no_witnesses() {
     for (const int outcomes : {1, 12}) {
-        Terms given = many();
+        DeploymentConfig given = many();
         Bench bench(given);
         for (int i = 0; i < 60; ++i) bench.host("o" + std::to_string(i), 1);
         for (int i = 0; i < 5; ++i) bench.host("n" + std::to_string(i), 2);
@@ -152,16 +152,16 @@
             bench.at(bench.clock + 10);
             const std::string id = std::to_string(next++) + "w";
             bench.arrive(id, bench.clock + 9000);
-            const auto picks = bench.pull(Act::pick);
+            const auto picks = bench.pull(Action::pick);
             for (std::size_t i = 0; i < picks.size(); ++i) {
                 const bool sick = picks[i].host[0] == 'n';
                 const bool wanted = met[picks[i].host] < outcomes;
                 met[picks[i].host] += wanted;
-                bench.router->ended(id, int(i),
-                                    wanted && sick ? Outcome::fault
-                                    : wanted       ? Outcome::ok
-                                                   : Outcome::undone,
-                                    100, true, {});
+                bench.router->pick_ended(id, int(i),
+                                         wanted && sick ? Outcome::error
+                                         : wanted       ? Outcome::ok
+                                                        : Outcome::cancelled,
+                                         100, true, {});
             }
         }
         bool back = false;
@@ -170,9 +170,9 @@
     }
 }
 
-Terms peers(int instances, int ordinal) {
-    Terms given = many(instances);
-    given.peers = true;
+DeploymentConfig peers(int instances, int ordinal) {
+    DeploymentConfig given = many(instances);
+    given.exchanges_summaries = true;
     given.ordinal = ordinal;
     return given;
 }
@@ -185,7 +185,7 @@
     for (int i = 0; i < kRouters; ++i) {
         routers.emplace_back(peers(kRouters, i));
         routers.back().router = make_router(peers(kRouters, i), 50 + i);
-        routers.back().router->clock(0);
+        routers.back().router->set_time(0);
         routers.back().host("o", 1), routers.back().host("n", 2);
         routers.back().news(2, 1, Phase::on_trial, 1);
     }
@@ -196,18 +196,18 @@
         std::vector<std::pair<int, Decision>> told;
         for (int i = 0; i < kRouters; ++i) {
             routers[i].at(now);
-            for (const Decision &made : routers[i].pull(Act::tell)) told.emplace_back(i, made);
+            for (const Decision &made : routers[i].pull(Action::send_summary)) told.emplace_back(i, made);
         }
         for (const auto &[from, made] : told) {
-            assert(made.peer != from && made.peer < kRouters && made.text.size() <= Word::kMost);
-            const auto word = Word::unpack(made.text, 2);
+            assert(made.peer != from && made.peer < kRouters && made.text.size() <= TrialSummary::kMaxBytes);
+            const auto word = TrialSummary::decode(made.text, 2);
             assert(word);
             made.peer < 0 ? ++to_all : ++single;
             if (made.peer >= 0) collectors.insert(made.peer), assert(word->routers == 1);
             if (made.peer < 0) most = std::max(most, word->routers);
             for (int to = 0; to < kRouters; ++to)
                 if (to != from && (made.peer < 0 || made.peer == to))
-                    routers[to].router->heard(from, made.text);
+                    routers[to].router->receive_summary(from, made.text);
         }
     }
     assert(single <= 4 * 2 * kRouters && to_all <= 4 * 2);
@@ -224,17 +224,17 @@
         for (int i = 0; i < 8; ++i)
             bench.host("o" + std::to_string(i), 1), bench.host("n" + std::to_string(i), 2);
         bench.news(2, 1, Phase::on_trial, 1);
-        Word word;
+        TrialSummary word;
         word.build = 2, word.routers = what == too_many ? 61 : 50;
-        word.trial.resize(2), word.before.resize(2);
+        word.trial.resize(2), word.earlier.resize(2);
         word.trial[0].add(200, 90), word.trial[1].add(200, 90);
-        word.before[0].add(400, 2), word.before[1].add(400, 2);
-        std::string bytes = word.pack();
+        word.earlier[0].add(400, 2), word.earlier[1].add(400, 2);
+        std::string bytes = word.encode();
         if (what == cut) bytes.pop_back();
         if (what == longer) bytes += std::string(300, 'x');
         if (what == old_version) bytes[0] = 1;
         bench.at(1000);
-        bench.router->heard(what == stranger ? 60 : what == itself ? 5 : 7, bytes);
+        bench.router->receive_summary(what == stranger ? 60 : what == itself ? 5 : 7, bytes);
         bench.at(2000);
         assert(votes_back(bench) == (what == sum));
     }
@@ -243,8 +243,8 @@
 // One method comes past its soft deadline at every host, the other in time: it is mostly pushed back, and
 // still asked now and then; the other goes on.
 void a_method_late_everywhere_is_mostly_pushed_back() {
-    Terms given = many();
-    given.max_pause = 10000, given.advise_pause = true;
+    DeploymentConfig given = many();
+    given.max_retry_after = 10000, given.advise_retry_after = true;
     Bench bench(given);
     for (int i = 0; i < 10; ++i) bench.host("o" + std::to_string(i), 1);
     int turned[2] = {0, 0}, asked[2] = {0, 0};
@@ -252,13 +252,13 @@
         bench.at(bench.clock + 500);
         const std::string id = std::to_string(i) + "m";
         const int method = i % 2;
-        bench.router->arrived({id, method, 0, "", bench.clock + 40000, false});
+        bench.router->rpc_arrived({id, method, 0, "", bench.clock + 40000, false});
         const auto made = bench.pull();
-        if (i >= 100) ++asked[method], turned[method] += count(made, Act::push_back) > 0;
+        if (i >= 100) ++asked[method], turned[method] += count(made, Action::push_back) > 0;
         for (const Decision &d : made)
-            if (d.act == Act::push_back) assert(d.span > 0);
-        if (count(made, Act::pick) > 0)
-            bench.router->ended(id, 0, Outcome::ok, method ? 6000 : 400, true, {});
+            if (d.action == Action::push_back) assert(d.duration > 0);
+        if (count(made, Action::pick) > 0)
+            bench.router->pick_ended(id, 0, Outcome::ok, method ? 6000 : 400, true, {});
     }
     assert(turned[1] > asked[1] * 0.6 && turned[1] < asked[1]);
     assert(turned[0] < asked[0] * 0.1);
@@ -266,7 +266,7 @@
 
 // Where new connections are refused, picks go to the hosts that answered of late.
 void standing_connections_carry_the_picks_in_a_squeeze() {
-    Terms given = many();
+    DeploymentConfig given = many();
     given.keepalive = 300000;
     Bench bench(given);
     for (int i = 0; i < 30; ++i) bench.host("o" + std::to_string(i), 1);
@@ -276,14 +276,14 @@
         bench.at(bench.clock + 5000);
         const std::string id = std::to_string(i) + "q";
         bench.arrive(id, bench.clock + 9000);
-        auto picks = bench.pull(Act::pick);
+        auto picks = bench.pull(Action::pick);
         for (int pick = 0; !picks.empty(); ++pick) {
             const std::string host = picks[0].host;
             const bool open = met.count(host) > 0 || met.size() < 3; // the fourth connection is refused
             if (open) met.insert(host);
             ++asked, refused += !open;
-            bench.router->ended(id, pick, open ? Outcome::ok : Outcome::no_route, 100, open, {});
-            picks = open ? std::vector<Decision>{} : bench.pull(Act::pick);
+            bench.router->pick_ended(id, pick, open ? Outcome::ok : Outcome::connect_failed, 100, open, {});
+            picks = open ? std::vector<Decision>{} : bench.pull(Action::pick);
         }
     }
     assert(asked >= 600 && refused < 60);
@@ -294,26 +294,27 @@
 void each_newer_build_holds_its_keys() {
     enum { unannounced, released, back };
     for (const int what : {unannounced, released, back}) {
-        Terms given = terms(Repeat::idempotent);
-        given.rollout.keys_stay = true;
+        DeploymentConfig given = terms(RepeatPolicy::idempotent);
+        given.rollout.sticky_keys = true;
         Bench bench(given);
         bench.news(what == unannounced ? 3 : 4, 1, what == unannounced ? Phase::withdrawn : Phase::on_trial,
                    1);
         bench.host("new", 4);
         if (what == released) bench.host("old", 2), bench.news(4, 1, Phase::released, 1);
-        if (what == released) bench.router->list({{"old", 0, 0, 0, 2, Standing::draining, 1, 0}}, false);
+        if (what == released)
+            bench.router->update_hosts({{"old", 0, 0, 0, 2, HostStatus::draining, 1, 0}}, false);
         if (what == released) bench.host("older", 1);
         bench.arrive("r", 10000, "k");
-        const auto first = bench.pull(Act::pick);
+        const auto first = bench.pull(Action::pick);
         assert(first.size() == 1);
         bench.end("r", 0, Outcome::ok, true);
         if (what != released || first[0].host == "new") {
-            if (what == back) bench.news(4, 1, Phase::going_back, 0);
+            if (what == back) bench.news(4, 1, Phase::rolling_back, 0);
             bench.host("old", 2);
             bench.drain("new");
             if (what == released) bench.drain("older");
             bench.arrive("s", 10000, "k");
-            assert(bench.pull(Act::pick).empty() == (what != back));
+            assert(bench.pull(Action::pick).empty() == (what != back));
         }
     }
 }
@@ -321,19 +322,19 @@
 // A build was withdrawn and the next is on trial, while a late list still shows the withdrawn one's hosts as
 // ready: they drain, and get nothing.
 void hosts_of_a_withdrawn_build_get_nothing() {
-    Bench bench(terms(Repeat::idempotent));
+    Bench bench(terms(RepeatPolicy::idempotent));
     bench.host("withdrawn", 2);
     bench.news(2, 1, Phase::on_trial, 1);
     bench.arrive("r", 10000);
-    assert(bench.pull(Act::pick).size() == 1);
-    bench.news(2, 1, Phase::going_back, 0);
+    assert(bench.pull(Action::pick).size() == 1);
+    bench.news(2, 1, Phase::rolling_back, 0);
     bench.news(2, 1, Phase::withdrawn, 0);
     bench.news(3, 0, Phase::on_trial, 0.1);
     bench.arrive("s", 10000);
-    assert(bench.pull(Act::pick).empty());
+    assert(bench.pull(Action::pick).empty());
     bench.host("earlier", 1);
     bench.arrive("t", 10000);
-    const auto picks = bench.pull(Act::pick);
+    const auto picks = bench.pull(Action::pick);
     assert(picks.size() == 1 && picks[0].host == "earlier");
 }
 
@@ -341,8 +342,9 @@
 // all its routers send a cold host stays under twice what a warm one of its size took before.
 void a_collapse_raises_no_allowance() {
     constexpr int kRouters = 20, kHosts = 20, kCold = 10;
-    Terms given = many(kRouters);
-    given.cold_share = 0.41, given.overload_multiple = 2, given.overload_for = 15000, given.cold_for = 50000;
+    DeploymentConfig given = many(kRouters);
+    given.cold_capacity_share = 0.41, given.overload_multiple = 2, given.overload_window = 15000,
+    given.warm_up_time = 50000;
     int sent = 0;
     for (int router = 0; router < kRouters; ++router) {
         Bench bench(given);
@@ -355,15 +357,18 @@
                 const std::string id = std::to_string(next++) + "c";
                 bench.arrive(id, bench.clock + 9000);
                 int pick = 0;
-                for (auto picks = bench.pull(Act::pick); !picks.empty(); picks = bench.pull(Act::pick)) {
+                for (auto picks = bench.pull(Action::pick); !picks.empty();
+                     picks = bench.pull(Action::pick)) {
                     sent += picks[0].host[0] == 'c';
-                    bench.router->ended(id, pick++, served ? Outcome::ok : Outcome::fault, 800, served, {});
+                    bench.router->pick_ended(id, pick++, served ? Outcome::ok : Outcome::error, 800, served,
+                                             {});
                 }
             }
         };
         for (int s = 0; s < 30; ++s) second(1, true);
         for (int i = 0; i < kHosts; ++i)
-            bench.router->list({{"w" + std::to_string(i), 0, 0, 0, 1, Standing::gone, 1, 0}}, false);
+            bench.router->update_hosts({{"w" + std::to_string(i), 0, 0, 0, 1, HostStatus::gone, 1, 0}},
+                                       false);
         for (int s = 0; s < 10; ++s) second(8, true);
         for (int i = 0; i < kCold; ++i) bench.host("c" + std::to_string(i), 1, bench.clock);
         for (int s = 0; s < 4; ++s) second(8, false);
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -49,13 +49,14 @@
 }
 
 void answers_become_messages() {
-    const auto pick = action("router/1", {.act = Act::pick, .rpc = "r-a", .host = "h:1", .span = 805});
+    const auto pick =
+        action("router/1", {.action = Action::pick, .rpc = "r-a", .host = "h:1", .duration = 805});
     assert(pick["cmd"] == "ATTEMPT" && pick["tid"] == "r-a" && pick["host"] == "h:1" &&
            pick["patience"] == 0.0805);
     const auto vote =
-        action("router/1", {.act = Act::vote, .build = 42, .stage = 2, .verdict = Verdict::back});
+        action("router/1", {.action = Action::vote, .build = 42, .stage = 2, .verdict = Verdict::roll_back});
     assert(vote["cmd"] == "JUDGE" && vote["image"] == 42 && vote["stage"] == 2 && vote["reason"] == 3);
-    assert(action("router/1", {.act = Act::wake, .span = 89122})["instant"] == 8.9122);
+    assert(action("router/1", {.action = Action::wake, .duration = 89122})["instant"] == 8.9122);
 }
 
 } // namespace
--- a/tests/telling_test.cpp
+++ b/tests/telling_test.cpp
@@ -74,10 +74,10 @@
     const list::Listing listing = list::read_listing(told, kNames);
     assert(listing.version == 43 && !listing.whole && listing.hosts.size() == 1);
     const HostEntry &entry = listing.hosts[0].entry;
-    assert(entry.standing == Standing::draining && entry.started == 17000000001230 && entry.build == 41);
+    assert(entry.status == HostStatus::draining && entry.started == 17000000001230 && entry.build == 41);
     const json gone{
         {"version", 44}, {"full", false}, {"servers", {{{"id", "s-1"}, {"state", "terminated"}}}}};
-    assert(list::read_listing(gone, kNames).hosts[0].entry.standing == Standing::gone);
+    assert(list::read_listing(gone, kNames).hosts[0].entry.status == HostStatus::gone);
 }
 
 void an_odd_list_names_its_field() {
@@ -94,19 +94,19 @@
     const auto told = rollout::read_line(
         R"({"type":"stage","object":{"build":42,"stage":1,"phase":"Progressing","cap":0.28,"age_ms":310}})",
         kNames);
-    const News news = std::get<News>(told);
+    const RolloutUpdate news = std::get<RolloutUpdate>(told);
     assert(news.build == 42 && news.stage == 1 && news.cap == 0.28 && news.age == 3100 && news.valid);
-    News other = news;
+    RolloutUpdate other = news;
     other.stage = 0;
     assert(!rollout::supersedes(other, news) && rollout::supersedes(news, other));
-    other = news, other.phase = Phase::going_back;
+    other = news, other.phase = Phase::rolling_back;
     assert(rollout::supersedes(other, news) && !rollout::supersedes(news, other));
     other = news, other.build = 41, other.phase = Phase::withdrawn;
     assert(!rollout::supersedes(other, news));
 }
 
 void the_stream_tells_tallies_flags_and_life() {
-    const auto tally = std::get<Tally>(rollout::read_line(
+    const auto tally = std::get<PlatformStats>(rollout::read_line(
         R"({"type":"tally","object":{"build":42,"class":"order","count":57,"failed":2,"mean_ms":18.5,"age_ms":900}})",
         kNames));
     assert(tally.method == 1 && tally.picks == 57 && tally.failed == 2 && tally.age == 9000);
@@ -120,8 +120,8 @@
 }
 
 void a_vote_is_written_in_the_platforms_words() {
-    assert(rollout::write_vote(42, 1, Verdict::on) == R"({"build":42,"stage":1,"verdict":"promote"})");
-    assert(rollout::write_vote(42, 0, Verdict::back).find("abort") != std::string::npos);
+    assert(rollout::write_vote(42, 1, Verdict::advance) == R"({"build":42,"stage":1,"verdict":"promote"})");
+    assert(rollout::write_vote(42, 0, Verdict::roll_back).find("abort") != std::string::npos);
 }
 
 void configuration_names_the_faulty_key() {
