--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -1,7 +1,12 @@
-// All decisions of pineridge. The interface is src/logic.hpp.
-// How to call it: give the batch's time by clock(), then every input in the order it came; inputs only update
-// what is known. Then call next() until it answers Act::none and carry out each decision in that order. It
-// asks by Act::wake for a later clock() call. One Router is one instance; it shares nothing with another.
+// The decisions of pineridge. The interface is src/logic.hpp, the state src/state.hpp.
+//
+// Calling order: call set_time() with the time of a batch of inputs, then pass the inputs in the order in
+// which they came; inputs only update the state. Then call next_decision() until it returns Action::none, and
+// carry out each decision in that order. Action::wake asks for a set_time() call at a later time. One Router
+// is one instance, which shares nothing with others and is not safe for concurrent use.
+//
+// Unless stated otherwise, smoothing constants are the weight of the newest value in a moving average, shares
+// are in [0, 1], costs are factors on the cost of a host, and slowdowns are ratios of latencies.
 #include "logic.hpp"
 #include "state.hpp"
 #include <algorithm>
@@ -11,284 +16,389 @@
 
 namespace pineridge {
 namespace {
-// The divergence gate, in the design page's numbers where it gives them.
-constexpr int kBackDivergences = 5; // fewer are chance
-constexpr int kBackPairs = 20, kMethodPairs = 6; // least samples for a vote back: over all, of one method
-constexpr double kBackShare = 0.20, kMethodShare = 0.35; // their divergence shares beyond the usual
-constexpr double kConcentrated = 0.8; // of the failures on a third of the trial's hosts: theirs
-constexpr double kHeardWell = 2; // outcomes of a host, halving as failures do
-constexpr double kBlind = 0.02, kBlindDoubt = 0.1; // chances under which trouble is no blind one, or in doubt
-constexpr double kAilShare = 0.05, kSlowAil = 2; // failure share and relative latency from which a host ails
-constexpr Ticks kLoneFor = 100000; // in stage one on one host, whose failures may be its own
-constexpr double kUneven = 2.5, kLeastShare = 0.01; // deviations that hosts and chance may add; least bar
-constexpr double kHoldShare = 0.10; // timer: hold above this share
-constexpr int kHoldPairs = 10, kOnPairs = 20; // over so many pairs; pairs in the stage before a vote on
-constexpr double kOnDivergences = 1, kOnShare = 0.003; // may diverge, and of a large sample: machines fail
-constexpr double kReleasePicks = 100, kOnPooled = 4; // pooled, before the last vote on; before one in between
-constexpr double kOwnFailures = 2; // one may be chance: some router of many has it
-constexpr double kTurnedAway = 0.1; // share of a trial's tallied picks that full hosts may turn away
-constexpr double kMethodFails = 0.5, kFewPicks = 10; // share looked for; picks of prior belief
-constexpr double kLeastFails = 0.02, kFailDoubt = 0.5; // of any method, by chance; of a bar: no vote on
-constexpr double kMethodProof = 6, kMethodDoubt = 1; // log odds: back; no vote on
-constexpr double kHostsFail = 0.25; // that hosts in trouble may fail where none of the earlier build tell
-constexpr double kSlowChance = 3; // over the root of the sample: what chance may add to a tallied latency
-constexpr Ticks kOnAnyway = 30000; // a clean balancer votes on after so long in a stage
-constexpr Ticks kVoteRenewal = 40000, kVoteRetry = 3000; // a vote is sent again: counted, not counted
-constexpr double kVoteTries = 0.5; // of the time in which each has a turn, between tries of a vote on
-constexpr double kSlowedRatio = 2.3, kMuchFrom = 2; // latency of all picks over the calm; from that stage on
-constexpr double kSlowRatio = 1.5; // median latency against the earlier build's
-constexpr std::size_t kSlowSample = 10, kBesides = 20; // latencies for a host's median; beside it
-constexpr double kColdKeys = 1.3, kFewHosts = 0.8; // slower: unmet keys; a lone trial host
-constexpr Ticks kColdSkip = 50000; // hosts younger than this are left out of the latency median
-constexpr Ticks kEvidenceAge = 80000; // older samples say nothing of a build that turns bad with time
-
-constexpr double kTrafficRate = 0.06, kPeakFade = 0.985; // a beat: of the newest figure; of its peak
-constexpr Ticks kSlowFor = 10000; // the trial's median stays over the bar
-constexpr Ticks kProvenFor = 10000; // of a vote that releases by itself: what wavers meanwhile was in doubt
-constexpr double kMinority = 0.6; // trial's part up to which the earlier hosts can bear witness
-constexpr double kSlowDoubt = 0.75, kSharedDoubt = 0.5; // of a bar (as logs), own or shared: no vote goes on
-constexpr double kLoadRise = 1.5, kFailRise = 15; // of all latencies: powers of load, for a failure share
-constexpr Ticks kWatch = 100000; // after a release too
-constexpr Ticks kTellRound = 10000; // in which peers hear of each other's picks
-constexpr int kCollectors = 2; // peers that sum up a round: one may be dead
-
-constexpr int kFewRouters = 3; // with more, traffic is not spread evenly enough to be known
-constexpr double kFuller = 1.5; // cost of the trial's best host over the earlier one's: clearly fuller
-
-constexpr double kCopyBeside = 0.2; // copies beside real traffic, over the trial's part of it
-
-constexpr double kYieldMost = 0.35, kWarmEnough = 0.75; // at most, for a vote on; each host, for the last one
-
-constexpr double kFlagProof = 6.0; // log odds that complaints follow the build, more where more may err
-constexpr double kWrongShare = 0.06, kFlagPrior = 250; // wrong answers looked for; answers of prior belief
-
-// Routing, health, time-outs and pushback.
-constexpr double kHostRate = 0.1; // weight of the newest outcome in a host's figures
-constexpr double kLoadRate = 0.05; // and of what either side holds: a lone host must not tip it by one pick
-constexpr double kPoolRate = 0.3, kRateRise = 0.2; // a beat, of the newest: what others hold; a higher rate
-
-constexpr double kTorn = 0.05, kTornRate = 0.004; // earlier picks broken: the network's doing; of the newest
-constexpr double kBarredRate = 0.2, kUnlinked = 4; // of the newest; cost of a host without a connection
-constexpr double kForgive = 30000.0, kMissed = 3; // failures halve in this time; cost of a host for each miss
-constexpr double kSilence = 4.0; // times the usual latency without any answer: silent
-constexpr Ticks kReportAge = 15000; // older load reports are not used
-constexpr double kReportTrust = 0.5; // of what a report shows beyond own picks, as it is late
-constexpr std::size_t kLeastDrawn = 3; // hosts compared for a pick where many routers share the load
-constexpr Ticks kHeardEach = 20000; // a host in reach has a pick so often
-constexpr std::size_t kLeastReach = 8; // hosts
-constexpr double kLargest = 6; // usual sizes, or parts of one, that a guess counts for: it is rough
-constexpr int kRingPoints = 4; // places of a host on the ring of keys, so that their parts are alike
-constexpr double kWarmKeyCost = 0.75, kOlderCost = 3.0; // of a host that likely met the key; of one replaced
-constexpr double kBudgetShare = 0.12, kBudgetMost = 30; // further picks a RPC, and saved up at most
-constexpr double kLookLatency = 3.0; // usual latencies before an RPC looks elsewhere
-constexpr double kLookLeast = 0.3, kLookMost = 0.6; // of the soft deadline
-constexpr Ticks kLateSpan = 5000; // over which answers tell how late they come
-constexpr double kCalmPart = 0.6, kAskPart = 0.15; // of its lateness another method has; asked all the same
-constexpr double kLateMost = 1.5, kSparse = 0.3; // deadlines, no more is told; weight of one of few answers
-constexpr double kHopeful = 0.8, kHopeless = 1.6, kCrowded = 0.4; // wait over soft deadline: all, none, once
-constexpr double kLateHigh = 0.55, kLateLow = 0.4; // latency over soft deadline: fewer, or more, open picks
-constexpr double kLeastLimit = 0.6, kCutLimit = 0.92, kRaiseLimit = 1.04; // open picks; steps down, up
-constexpr double kFirstRoom = 0.5, kLeastWorth = 0.8, kOverShare = 0.5; // of room: first, least, past quota
-constexpr double kPaceRate = 0.02, kFade = 0.997, kComeAgain = 0.6; // a beat; turned away: tried again
-constexpr Ticks kNewcomer = 20000; // before so long a router does not know its best rate
-constexpr double kColdSafety = 0.8, kColdFloor = 2; // of the push a cold host stands; picks all may send
-constexpr Ticks kBeat = 1000, kPause = 3000; // between looks at standing matters; advice when to return
-constexpr std::size_t kMostAllowed = 256; // builds with shares by cell; beyond, the oldest numbers go
-constexpr Ticks kAskAgain = 8000; // least wait after a failed call for the list
-constexpr Ticks kAskEach = 300, kAskSpread = 30000; // width of a fleet's calls for each router; at most
-constexpr Ticks kCallTakes = 22000; // a call that discovery keeps waiting has failed by then
-constexpr double kAskGrowth = 1.5, kAskGrowthMost = 4; // of the waits, from the third failure on; at most
+
+// --- Constants of the votes ---
+
+// Evidence for a vote to roll back.
+constexpr int kMinRollBackFailures = 5; // picks; fewer may be chance
+constexpr int kMinRollBackPicks = 20; // over all methods
+constexpr int kMinMethodPicks = 6; // of one method
+constexpr double kRollBackFailureShare = 0.20; // above the baseline, over all methods
+constexpr double kMethodFailureShare = 0.35; // above the baseline, of one method
+constexpr double kConcentratedFailureShare =
+    0.8; // on a third of the hosts: these are at fault, not the build
+constexpr double kMinHostOutcomes = 2; // decayed count from which a host's figures are meaningful
+constexpr double kRandomTroubleProbability = 0.02; // below it, trouble at the oldest hosts is not random
+constexpr double kRandomTroubleDoubt = 0.1; // below it, whether that trouble is random is in doubt
+constexpr double kTroubleFailureRate = 0.05; // of a host in trouble
+constexpr double kTroubleSlowdown = 2; // of a host in trouble, over the median host
+constexpr Ticks kSingleHostWait = 100000; // in the first stage on a single host, which may itself be at fault
+constexpr double kUnevenDeviations = 2.5; // standard deviations that uneven hosts and chance may add
+constexpr double kMinFailureLimit = 0.01; // share; the limit on failures falls no lower
+constexpr double kTurnedAwayShare = 0.1; // share of a trial's reported picks that full hosts may turn away
+constexpr double kMinOwnFailures = 2; // in a large fleet some router has one by chance
+constexpr double kFailingMethodShare = 0.5; // failure share of a method that is tested for
+constexpr double kPriorPicks = 10; // picks that the prior of a method's failure share counts for
+constexpr double kMethodFailureFloor = 0.02; // failure share of any method that may be chance
+constexpr double kMethodRollBackLogOdds = 6;
+constexpr double kUncomparedFailureShare =
+    0.25; // that failing hosts may cause where no earlier pick compares
+constexpr double kLatencyDeviation = 3; // over the root of the sample size: what chance adds to a log latency
+constexpr double kFleetSlowdown = 2.3; // of all picks since the trial began
+constexpr int kFleetSlowdownStage = 2; // from this stage on the trial carries enough to slow the fleet
+constexpr double kTrialSlowdown = 1.5; // median latency over that of earlier builds
+constexpr std::size_t kMinHostLatencies = 10; // for a host's median
+constexpr std::size_t kMinEarlierLatencies = 20; // of a method at earlier builds, for comparison
+constexpr double kColdKeySlowdown = 1.3; // allowance, as hosts of a new build have not served the keys before
+constexpr double kFewHostsSlowdown = 0.8; // further allowance, divided by the number of the trial's hosts
+constexpr Ticks kColdHostAge = 50000; // latencies of younger hosts are not compared
+constexpr Ticks kEvidenceLifetime = 80000; // older samples do not show a build that fails with age
+constexpr double kLatencyLoadExponent = 1.5; // latency grows with this power of the load
+constexpr double kLatencyFailureFactor = 15; // rise in log latency per failure share of earlier builds
+constexpr double kFlagRollBackLogOdds = 6.0; // plus the log of the routers, any of which may err
+constexpr double kWrongAnswerShare = 0.06; // share of wrong answers that is tested for
+constexpr double kFlagPriorAnswers = 250; // answers that the prior of the flag rate counts for
+constexpr Ticks kSlowdownDuration = 10000; // for which a figure must stay above its limit
+
+// Evidence for a vote to advance, or to hold.
+constexpr double kHoldFailureShare = 0.10; // under a timer; above it the vote is to hold
+constexpr int kMinHoldPicks = 10; // under a timer
+constexpr int kMinAdvancePicks = 20; // in the present stage
+constexpr double kAdvanceFailures = 1; // allowed in any sample
+constexpr double kAdvanceFailureShare = 0.003; // allowed in a large sample, as machines fail
+constexpr double kMinReleasePicks = 100; // of all routers, before the last vote to advance
+constexpr double kMinAdvancePooledPicks = 4; // of all routers, before a vote in between
+constexpr Ticks kAdvanceAfter = 30000; // in a stage; a router without failures then needs no full sample
+constexpr double kFailureDoubt = 0.5; // part of the failure limit from which no vote advances
+constexpr double kMethodDoubtLogOdds = 1; // from which no vote advances
+constexpr double kSlowdownDoubt =
+    0.75; // part of the log limit on the trial's slowdown from which none advances
+constexpr double kFleetSlowdownDoubt = 0.5; // the same for the slowdown of all picks
+constexpr double kMinorityShare = 0.6; // largest share of the capacity at which earlier hosts are comparable
+constexpr double kMaxYieldShare = 0.35; // of the RPCs drawn for the trial, for a vote to advance
+constexpr double kReleaseWarmUp = 0.75; // that each host must have reached for the last vote
+constexpr Ticks kReleaseVoteDelay =
+    10000; // the last vote must have been due for so long, as doubts may follow
+constexpr Ticks kReleaseWatch = 100000; // a release is watched for so long
+
+// Sending of votes and summaries.
+constexpr Ticks kVoteRenewal = 40000; // until a counted vote is sent again
+constexpr Ticks kVoteRetry = 3000; // until a vote that was not counted is sent again
+constexpr double kVoteRetryTurns = 0.5; // of the time in which each router can vote once, between retries
+constexpr Ticks kSummaryRound = 10000; // in which each router sends one summary
+constexpr int kSummaryCollectors = 2; // peers that add up the summaries of a round, as one may be down
+
+// --- Constants of routing, host health and pushback ---
+
+// Fleet and traffic.
+constexpr int kSmallFleet = 3; // routers; with more, the load cannot be known from a router's own traffic
+constexpr Ticks kUpdateInterval = 1000; // of the periodic update
+constexpr double kTrafficSmoothing = 0.06; // of traffic rates, by update
+constexpr double kPeakDecay = 0.985; // of the traffic peak, by update
+constexpr double kMaximumDecay = 0.997; // of other maxima, by update
+constexpr double kWarmRateSmoothing = 0.02; // of the pick rate at warm hosts, by update
+constexpr double kRetriedShare = 0.6; // of the RPCs turned away, that come again
+
+// Split of the traffic between the trial and earlier builds.
+constexpr double kFullerRatio = 1.5; // of the loads of the two sides, for one to be clearly fuller
+constexpr double kCopyShare = 0.2; // of the trial's share: copies in addition to real traffic
+
+// Health and load of hosts.
+constexpr double kHostSmoothing = 0.1; // of a host's figures, by pick
+constexpr double kSideLoadSmoothing =
+    0.05; // by update; low, so that one pick at a single host decides nothing
+constexpr double kPeerLoadSmoothing = 0.3; // by update
+constexpr double kConnectionLossLimit = 0.05; // share of earlier picks above which the network is at fault
+constexpr double kConnectionLossSmoothing = 0.004; // by pick
+constexpr double kConnectFailureSmoothing = 0.2; // by new connection
+constexpr double kUnconnectedCost = 4; // of a host without an open connection, times the connect failure rate
+constexpr double kFailureHalfLife = 30000.0; // ticks
+constexpr double kFailureCost = 3; // of a host, for each failure in a row
+constexpr double kSilenceLatencies = 4.0; // baseline latencies without any answer until a host is silent
+constexpr Ticks kReportLifetime = 15000; // of a load report
+constexpr double kReportWeight = 0.5; // of a load report against the estimate, as reports come late
+
+// Choice of a host.
+constexpr std::size_t kMinCandidates = 3; // hosts that are compared for a pick in a large fleet
+constexpr Ticks kHostPickInterval = 20000; // largest interval between a router's picks at a host it uses
+constexpr std::size_t kMinReach = 8; // hosts that a router uses at least
+constexpr double kMaxRelativeWork = 6; // and its inverse bound work hints, which are rough
+constexpr int kRingPoints = 4; // points of a host on the ring of keys, which even out the hosts' parts
+constexpr double kPreferredHostCost = 0.75; // of the host that is likely to have served the key
+constexpr double kReplacedHostCost = 3.0; // of a host of an earlier build after a release
+
+// Further picks of an RPC.
+constexpr double kRetryBudgetShare = 0.12; // further picks that each RPC adds to the budget
+constexpr double kMaxRetryBudget = 30; // picks
+constexpr double kRerouteLatencies = 3.0; // baseline latencies until another host is tried
+constexpr double kMinRerouteShare = 0.3; // of the soft deadline, until another host is tried
+constexpr double kMaxRerouteShare = 0.6; // of the soft deadline, until another host is tried
+
+// Pushback.
+constexpr Ticks kLatenessWindow = 5000; // over which lateness is averaged
+constexpr double kMaxLateness = 1.5; // soft deadlines; a later answer counts as this late
+constexpr double kSparseSmoothing = 0.3; // of lateness in a large fleet, where each router has few answers
+constexpr double kHopelessLatenessRatio = 0.6; // of the least lateness over that of a method without hope
+constexpr double kHopelessProbeShare = 0.15; // of such a method's RPCs that are sent nevertheless
+constexpr double kShedNoneWait = 0.8; // expected wait, in soft deadlines, up to which none is pushed back
+constexpr double kShedAllWait = 1.6; // expected wait, in soft deadlines, from which all are pushed back
+constexpr double kSpareWait = 0.4; // expected wait, in soft deadlines, up to which further picks are sent
+constexpr double kHighLateness = 0.55; // latency in soft deadlines above which the open-pick limit falls
+constexpr double kLowLateness = 0.4; // latency in soft deadlines below which the open-pick limit rises
+constexpr double kMinOpenPickLimit =
+    0.6; // below one: in a large fleet even one pick may be sent by chance only
+constexpr double kLimitDecrease = 0.92; // factor by update
+constexpr double kLimitIncrease = 1.04; // factor by update
+constexpr double kOpenPickShare = 0.5; // of max_open_picks, for first picks
+constexpr double kMinUtilityShare = 0.8; // of a limit, for the RPCs of least utility
+constexpr double kOverQuotaShare = 0.5; // of a limit, for RPCs over their tenant's quota
+constexpr double kBestRateSmoothing = 0.2; // of a rise in the best answer rate, by update
+constexpr Ticks kBestRateWarmUp = 20000; // after the first RPC, until the best answer rate is known
+constexpr double kColdSafety = 0.8; // of the load that overloads a cold host
+constexpr double kColdFloor = 2; // picks that all routers together may send to a cold host
+constexpr Ticks kRetryAfter = 3000; // least advice when to retry
+
+// Bounds on state, and requests for the host list.
+constexpr std::size_t kMaxBuildsWithShares = 256; // beyond it the shares of the lowest builds are dropped
+constexpr Ticks kListRetryWait = 8000; // least wait after a failed request
+constexpr Ticks kListRequestSpacing = 300; // for each router of the fleet
+constexpr Ticks kMaxListRequestSpread = 30000;
+constexpr Ticks kListRequestTimeout = 22000; // after which an unanswered request has failed
+constexpr double kListRetryGrowth = 1.5; // factor on the wait, from the third failure on
+constexpr double kMaxListRetryGrowth = 4; // largest product of these factors
 
 class Decider final : public Instance {
   public:
     Decider(DeploymentConfig given, std::uint64_t seed) : Instance(std::move(given), seed) {
-        budget = kBudgetMost / 2;
+        retry_budget = kMaxRetryBudget / 2;
     }
 
-    bool many() const { return terms.instances > kFewRouters; }
+    bool is_large_fleet() const { return config.instances > kSmallFleet; }
     void weigh_hosts() {
-        if (!pools_due) return;
-        sound[0] = sound[1] = 0;
+        if (!pools_outdated) return;
+        healthy_weight[0] = healthy_weight[1] = 0;
         for (Host &host : hosts) {
-            const auto kind = kind_excess.find(host.entry.kind);
-            host.weight = rating(host) * warmth(host);
-            if (kind != kind_excess.end()) host.weight *= std::exp(-kind->second);
-            if (usable(host) && well(host)) sound[on_trial(host.entry.build)] += host.weight;
+            const auto kind = kind_excess_latency.find(host.entry.kind);
+            host.weight = rating(host) * warm_up_share(host);
+            if (kind != kind_excess_latency.end()) host.weight *= std::exp(-kind->second);
+            if (usable(host) && is_healthy(host)) healthy_weight[on_trial(host.entry.build)] += host.weight;
         }
-        fill_pools(now - kReportAge, kRingPoints, kPoolRate, kLoadRate);
+        rebuild_pools(now - kReportLifetime, kRingPoints, kPeerLoadSmoothing, kSideLoadSmoothing);
     }
 
-    double faded(double figure, Ticks since) const {
-        return figure * std::exp2(double(since - now) / kForgive);
+    double decayed(double figure, Ticks since) const {
+        return figure * std::exp2(double(since - now) / kFailureHalfLife);
+    }
+    double failure_rate(const Host &host) const { return decayed(host.failure_rate, host.failure_rate_at); }
+    double failure_penalty(const Host &host) const {
+        return kFailureCost * decayed(host.consecutive_failures, host.last_failure_at);
+    }
+    bool is_healthy(const Host &host) const {
+        return failure_rate(host) < kRollBackFailureShare && failure_penalty(host) < kFailureCost;
     }
-    double fails(const Host &host) const { return faded(host.fails, host.fails_at); }
-    double missing(const Host &host) const { return kMissed * faded(host.misses, host.missed_at); }
-    bool well(const Host &host) const { return fails(host) < kBackShare && missing(host) < kMissed; }
 
-    // Has this held for so long? A figure that tops its bar for a moment, as queues jump, is no verdict.
-    bool lasts(bool held, Ticks &since, Ticks span) const {
-        since = !held ? -1 : since < 0 ? now : since;
-        return held && now - since > span;
+    // Returns whether the condition has held for longer than `duration`. A figure that exceeds its limit only
+    // for a moment, as queue lengths jump, is no reason for a verdict.
+    bool has_lasted(bool condition, Ticks &since, Ticks duration) const {
+        since = !condition ? -1 : since < 0 ? now : since;
+        return condition && now - since > duration;
     }
 
-    double size_of(const Rpc &rpc) const { return std::clamp(rpc.size, 1 / kLargest, kLargest); }
-    double usual_latency(int method) const {
-        return usual_count[method] > 0 ? std::exp(usual[method])
-                                       : kLookLeast * terms.methods[method].soft_deadline;
+    double bounded_work(const Rpc &rpc) const {
+        return std::clamp(rpc.relative_work, 1 / kMaxRelativeWork, kMaxRelativeWork);
+    }
+    double baseline_latency(int method) const {
+        return baseline_count[method] > 0 ? std::exp(baseline_log_latency[method])
+                                          : kMinRerouteShare * config.methods[method].soft_deadline;
     }
 
     void set_time(Ticks at) override {
         now = std::max(now, at);
-        for (; !due.empty() && due.top().first <= now; due.pop())
-            if (const auto found = rpcs.find(due.top().second); found != rpcs.end()) enqueue(found->second);
-        if (armed <= now) armed = -1;
-        if (now < beat_at) return;
-        if (beat_at == 0) ask_at = now + static_cast<Ticks>(ask_span() * rng.uniform());
-        beat_at = now + kBeat;
-        pools_due = true;
-        count_traffic(kTrafficRate, kComeAgain);
-        forget_evidence(now - kEvidenceAge, kReleasePicks);
-        forget_flows();
-        while (allowed.size() > kMostAllowed) allowed.erase(allowed.begin());
-        measure_fleet(kColdSkip);
+        for (; !timers.empty() && timers.top().first <= now; timers.pop())
+            if (const auto found = rpcs.find(timers.top().second); found != rpcs.end())
+                enqueue(found->second);
+        if (wake_at <= now) wake_at = -1;
+        if (now < next_update_at) return;
+        if (next_update_at == 0)
+            list_request_at = now + static_cast<Ticks>(list_request_spread() * rng.uniform());
+        next_update_at = now + kUpdateInterval;
+        pools_outdated = true;
+        count_traffic(kTrafficSmoothing, kRetriedShare);
+        expire_evidence(now - kEvidenceLifetime, kMinReleasePicks);
+        expire_cell_events();
+        while (cell_shares.size() > kMaxBuildsWithShares) cell_shares.erase(cell_shares.begin());
+        measure_fleet(kColdHostAge);
         const double warm = warm_rating();
-        places = std::max({places * kFade, rating_of(false), rating_of(true)});
-        // What a warm host serves; before any was seen to, the traffic over a whole side's hosts. Little
-        // traffic has peaks that are chance, and in a collapse most is retries: stops a fleet from taking
-        // either for what hosts can do, and from pushing over one cold host after the other.
-        if (paced <= 0 && warm_served.empty() && places > 0) pace = std::max(0.0, untried) / places;
-        if ((paced > 0 || !warm_served.empty()) && warm > 0)
-            pace += (warm_served.size() / warm - pace) * std::max(kPaceRate, 1.0 / ++paced);
-        lately.traffic = std::max(traffic, lately.traffic * kPeakFade);
-        const PickCounts served = count_earlier();
-        if (served.picks >= kBackPairs && !(watching() && released_at >= 0))
-            earlier_fails = served.failure_share();
-        best_rate = std::max(best_rate * kFade, best_rate + (answered.size() - best_rate) * kRateRise);
-        wait = best_rate > 0 && now > born + kNewcomer ? pending / best_rate * 10000 : 0;
-        bend_limit();
-    }
-
-    // The limit on open picks follows how late answers come. Stops a jam in which every answer is too late,
-    // whatever its cause: bursts, lost hosts, retries, slow builds. May shed too much when one host is slow.
-    // A jam makes every method and every tenant late: what is late alone waits for a cause of its own.
-    void bend_limit() {
-        const double late = least_late(lateness.size(), now - kLateSpan * 4);
-        const double least = many() ? kLeastLimit : 4; // under one: a chance to have one, where few are open
-        if (late > kLateHigh) {
-            if (limit <= 0) log("limit on: open %.0f lateness %.2f of %.2f", open, late, kLateHigh);
-            limit = std::max(least, (limit > 0 ? std::min<double>(limit, open) : open) * kCutLimit);
-        } else if (limit > 0 && late < kLateLow) {
-            if (open > limit * 0.7) limit *= kRaiseLimit;
-            if (open > limit * 0.3 || late > kLateLow * 0.6) return;
-            log("limit off: open %.0f of %.0f lateness %.2f", open, limit, late);
-            limit = 0;
+        side_rating = std::max({side_rating * kMaximumDecay, total_rating(false), total_rating(true)});
+        // The rate that warm hosts serve; until one has served a pick, the demand over the hosts of one side.
+        // Peaks of low traffic are chance, and during a collapse most RPCs are retries. Taking either for the
+        // capacity of hosts would make a fleet overload one cold host after the other.
+        if (warm_rate_samples <= 0 && warm_successes.empty() && side_rating > 0)
+            warm_pick_rate = std::max(0.0, demand_rate) / side_rating;
+        if ((warm_rate_samples > 0 || !warm_successes.empty()) && warm > 0)
+            warm_pick_rate += (warm_successes.size() / warm - warm_pick_rate) *
+                              std::max(kWarmRateSmoothing, 1.0 / ++warm_rate_samples);
+        current_figures.peak_traffic = std::max(first_try_rate, current_figures.peak_traffic * kPeakDecay);
+        const PickCounts earlier = count_earlier();
+        if (earlier.picks >= kMinRollBackPicks && !(watching_release() && released_at >= 0))
+            earlier_failure_share = earlier.failure_share();
+        best_answer_rate =
+            std::max(best_answer_rate * kMaximumDecay,
+                     best_answer_rate + (recent_answers.size() - best_answer_rate) * kBestRateSmoothing);
+        expected_wait = best_answer_rate > 0 && now > first_rpc_at + kBestRateWarmUp
+                            ? pending_rpcs / best_answer_rate * 10000
+                            : 0;
+        adjust_open_pick_limit();
+    }
+
+    // Adjusts the limit on open picks to how late answers come. This ends a congestion in which every answer
+    // comes too late, whatever its cause: bursts, lost hosts, retries, slow builds. It may push back too much
+    // when one host is slow. Congestion makes every method and every tenant late, so the least late one
+    // decides; a single late one has a cause of its own.
+    void adjust_open_pick_limit() {
+        const double late = least_lateness(lateness.size(), now - kLatenessWindow * 4);
+        const double least = is_large_fleet() ? kMinOpenPickLimit : 4;
+        if (late > kHighLateness) {
+            if (open_pick_limit <= 0)
+                add_log_line("open-pick limit on: %.0f open, lateness %.2f, threshold %.2f", total_open_picks,
+                             late, kHighLateness);
+            open_pick_limit =
+                std::max(least, (open_pick_limit > 0 ? std::min<double>(open_pick_limit, total_open_picks)
+                                                     : total_open_picks) *
+                                    kLimitDecrease);
+        } else if (open_pick_limit > 0 && late < kLowLateness) {
+            if (total_open_picks > open_pick_limit * 0.7) open_pick_limit *= kLimitIncrease;
+            if (total_open_picks > open_pick_limit * 0.3 || late > kLowLateness * 0.6) return;
+            add_log_line("open-pick limit off: %.0f open of %.0f, lateness %.2f", total_open_picks,
+                         open_pick_limit, late);
+            open_pick_limit = 0;
         }
     }
 
-    // A client that gave it little time tells nothing of host or build. Stops hasty callers from sending
-    // good builds back and good hosts to rest; a stalled host shows a little later.
-    bool hurried(const Rpc &rpc, const Pick &pick) const {
-        return pick.outcome == Outcome::timed_out && pick.took < method_of(rpc).soft_deadline;
+    // A time-out before the soft deadline says nothing about the host or the build, since the client allowed
+    // too little time. Otherwise clients with short deadlines would roll good builds back and keep good hosts
+    // idle. A stalled host is detected a little later for it.
+    bool had_short_deadline(const Rpc &rpc, const Pick &pick) const {
+        return pick.outcome == Outcome::timed_out && pick.duration < method_of(rpc).soft_deadline;
     }
 
-    // In a jam time-outs tell of the load; where connections to earlier hosts break too, breaks tell of the
-    // network. Only then are they left out. Stops either from blinding the gate and resting sound hosts.
-    bool speaks_against(const Rpc &rpc, const Pick &pick) const {
-        const bool jam = limit > 0 && pick.outcome == Outcome::timed_out;
-        const bool torn = breaks > kTorn && pick.outcome == Outcome::connection_lost;
-        return diverges(pick.outcome) && !jam && !torn && !hurried(rpc, pick);
+    // Returns whether the pick counts as a failure of its host and build. During congestion time-outs are due
+    // to the load, and where connections to earlier hosts are lost as well, lost connections are due to the
+    // network. They are left out only then, so that neither hides a bad build nor idles healthy hosts.
+    bool counts_against(const Rpc &rpc, const Pick &pick) const {
+        const bool by_congestion = open_pick_limit > 0 && pick.outcome == Outcome::timed_out;
+        const bool by_network =
+            connection_loss_rate > kConnectionLossLimit && pick.outcome == Outcome::connection_lost;
+        return is_failure(pick.outcome) && !by_congestion && !by_network && !had_short_deadline(rpc, pick);
     }
 
-    void learn(const Rpc &rpc, const Pick &pick) {
+    void record_outcome(const Rpc &rpc, const Pick &pick) {
         Host &host = hosts[pick.host];
-        const int method = rpc.from.method;
-        const bool served = pick.outcome == Outcome::ok, failed = speaks_against(rpc, pick);
+        const int method = rpc.arrival.method;
+        const bool served = pick.outcome == Outcome::ok;
+        const bool failed = counts_against(rpc, pick);
         const bool refused = pick.outcome == Outcome::connect_failed || pick.outcome == Outcome::host_busy;
-        if (failed || refused) ++host.misses, host.missed_at = now;
-        const bool unmet = pick.outcome == Outcome::connect_failed;
-        if (unmet || (pick.fresh && served)) barred += (unmet - barred) * kBarredRate;
-        host.linked_until = unmet || pick.outcome == Outcome::connection_lost ? -1 : now + terms.keepalive;
-        if (served) host.misses = 0;
-        if (pick.outcome != Outcome::cancelled && pick.outcome != Outcome::timed_out) host.quiet_since = now;
+        if (failed || refused) {
+            ++host.consecutive_failures;
+            host.last_failure_at = now;
+        }
+        const bool connect_failed = pick.outcome == Outcome::connect_failed;
+        if (connect_failed || (pick.new_connection && served))
+            connect_failure_rate += (connect_failed - connect_failure_rate) * kConnectFailureSmoothing;
+        host.connected_until =
+            connect_failed || pick.outcome == Outcome::connection_lost ? -1 : now + config.keepalive;
+        if (served) host.consecutive_failures = 0;
+        if (pick.outcome != Outcome::cancelled && pick.outcome != Outcome::timed_out) host.silent_since = now;
         if (served || failed) {
-            host.heard = 1 + faded(host.heard, std::exchange(host.heard_at, now));
-            host.fails = fails(host) + (failed - fails(host)) * kHostRate;
-            host.fails_at = now;
+            host.outcomes = 1 + decayed(host.outcomes, std::exchange(host.outcomes_at, now));
+            host.failure_rate = failure_rate(host) + (failed - failure_rate(host)) * kHostSmoothing;
+            host.failure_rate_at = now;
         }
-        const bool timed = served || (pick.outcome == Outcome::timed_out && !hurried(rpc, pick));
-        const double excess = excess_of(pick, method, size_of(rpc));
-        const bool against = timed && usual_count[method] > 0; // there is a usual latency to set it against
-        if (against) host.excess += (excess - host.excess) * kHostRate;
-        const double ratio = std::min(kLateMost, double(pick.took) / method_of(rpc).soft_deadline);
-        if (timed) note_lateness(rpc, ratio, kLateSpan, many() ? kSparse : kHostRate);
-        if (served && warmth(host) >= 1) warm_served.push_back(now);
-        of(pick.build).proven[method] += served;
-        of(pick.build).tried.add(1, proves_not_executed(pick.outcome));
+        const bool timed = served || (pick.outcome == Outcome::timed_out && !had_short_deadline(rpc, pick));
+        const double excess = excess_latency_of(pick, method, bounded_work(rpc));
+        const bool comparable = timed && baseline_count[method] > 0;
+        if (comparable) host.excess_latency += (excess - host.excess_latency) * kHostSmoothing;
+        const double ratio = std::min(kMaxLateness, double(pick.duration) / method_of(rpc).soft_deadline);
+        if (timed)
+            record_lateness(rpc, ratio, kLatenessWindow,
+                            is_large_fleet() ? kSparseSmoothing : kHostSmoothing);
+        if (served && warm_up_share(host) >= 1) warm_successes.push_back(now);
+        build_state(pick.build).successes[method] += served;
+        build_state(pick.build).own_picks.add(1, proves_not_executed(pick.outcome));
         if (pick.on_trial) {
-            if (!pick.copy && (served || failed)) judge(rpc, pick, failed, excess);
+            if (!pick.copy && (served || failed)) add_sample(rpc, pick, failed, excess);
             return;
         }
-        if (served && !trial_runs()) {
-            const double raw = excess + kind_excess[host.entry.kind];
-            usual[method] += raw * std::max(1.0 / ++usual_count[method], 0.004);
-            if (usual_count[method] > 20) kind_excess[host.entry.kind] += excess * 0.01;
+        if (served && !trial_running()) {
+            const double above_method_baseline = excess + kind_excess_latency[host.entry.kind];
+            baseline_log_latency[method] +=
+                above_method_baseline * std::max(1.0 / ++baseline_count[method], 0.004);
+            if (baseline_count[method] > 20) kind_excess_latency[host.entry.kind] += excess * 0.01;
         }
-        if (served || diverges(pick.outcome))
-            breaks += ((pick.outcome == Outcome::connection_lost) - breaks) * kTornRate;
+        if (served || is_failure(pick.outcome))
+            connection_loss_rate += ((pick.outcome == Outcome::connection_lost) - connection_loss_rate) *
+                                    kConnectionLossSmoothing;
         if (!served && !failed) return;
-        earlier.push_back({now, method, pick.host, failed, against, excess});
-        if (pick.build == known.build && watching())
-            judge(rpc, pick, failed && pick.outcome != Outcome::timed_out, excess);
+        earlier_samples.push_back({now, method, pick.host, failed, comparable, excess});
+        if (pick.build == rollout_state.build && watching_release())
+            add_sample(rpc, pick, failed && pick.outcome != Outcome::timed_out, excess);
     }
 
-    void judge(const Rpc &rpc, const Pick &pick, bool failed, double excess) {
-        // A cold host's slowness; and of many routers one waits in vain now and then, whatever the build.
-        if (failed && (!pick.aged || many()) && pick.outcome == Outcome::timed_out) return;
-        std::deque<Sample> &samples = of(pick.build).samples;
-        const bool timed = pick.aged && usual_count[rpc.from.method] > 0;
-        samples.push_back({now, rpc.from.method, pick.host, failed, timed, excess});
-        while (samples.size() > 400 || samples.front().at < now - kEvidenceAge) samples.pop_front();
+    void add_sample(const Rpc &rpc, const Pick &pick, bool failed, double excess) {
+        // A cold host is slow with any build, and in a large fleet some router's pick times out now and then
+        // with any build.
+        if (failed && (!pick.host_is_warm || is_large_fleet()) && pick.outcome == Outcome::timed_out) return;
+        std::deque<Sample> &samples = build_state(pick.build).samples;
+        const bool timed = pick.host_is_warm && baseline_count[rpc.arrival.method] > 0;
+        samples.push_back({now, rpc.arrival.method, pick.host, failed, timed, excess});
+        while (samples.size() > 400 || samples.front().at < now - kEvidenceLifetime) samples.pop_front();
     }
 
-    // A pair counts once both ends are known; a copy that was cut, or whose twin failed too, says nothing.
-    void judge_pair(Rpc &rpc) {
+    // Counts a copy once its own outcome and that of the client's pick are known. A copy that was cancelled,
+    // or that failed like the client's pick, is no evidence.
+    void add_pair_sample(Rpc &rpc) {
         const Pick *copy = nullptr;
         bool served = false;
         for (const Pick &pick : rpc.picks) {
             if (pick.copy) copy = &pick;
             served = served || (!pick.copy && !pick.open && pick.outcome == Outcome::ok);
         }
-        if (rpc.paired || !copy || copy->open) return;
-        rpc.paired = copy->outcome == Outcome::ok || (served && speaks_against(rpc, *copy));
-        if (!rpc.paired) return;
-        judge(rpc, *copy, copy->outcome != Outcome::ok, excess_of(*copy, rpc.from.method, size_of(rpc)));
+        if (rpc.pair_counted || !copy || copy->open) return;
+        rpc.pair_counted = copy->outcome == Outcome::ok || (served && counts_against(rpc, *copy));
+        if (!rpc.pair_counted) return;
+        add_sample(rpc, *copy, copy->outcome != Outcome::ok,
+                   excess_latency_of(*copy, rpc.arrival.method, bounded_work(rpc)));
     }
 
-    void pick_ended(const std::string &id, int number, Outcome outcome, Ticks took, bool complete,
+    void pick_ended(const std::string &id, int number, Outcome outcome, Ticks duration, bool rpc_complete,
                     const std::vector<double> &report) override {
-        Rpc *found = close_pick(id, number, outcome, took);
+        Rpc *found = close_pick(id, number, outcome, duration);
         if (!found) return;
         Rpc &rpc = *found;
         Pick &pick = rpc.picks[number];
-        note_report(hosts[pick.host], report);
-        learn(rpc, pick);
-        if (outcome == Outcome::ok && !rpc.done) of(pick.build).answers += 1, answered.push_back(now);
+        record_load_report(hosts[pick.host], report);
+        record_outcome(rpc, pick);
+        if (outcome == Outcome::ok && !rpc.done) {
+            build_state(pick.build).answers += 1;
+            recent_answers.push_back(now);
+        }
         settle_key(rpc, pick);
-        if (complete || outcome == Outcome::ok) settle(rpc);
-        judge_pair(rpc);
+        if (rpc_complete || outcome == Outcome::ok) settle(rpc);
+        add_pair_sample(rpc);
         enqueue(rpc);
     }
 
-    // --- guards: every pick and pushback passes here ---
-    // Rule 2: may this RPC have a pick at this host, after those it had?
+    // --- Guards, which every pick and pushback has to pass ---
+
+    // Rule 2: returns whether the RPC may be sent to this host after the picks that it has had.
     bool may_repeat(const Rpc &rpc, const Host &target) const {
         const Method &method = method_of(rpc);
         return method.repeat_policy == RepeatPolicy::idempotent ||
                std::all_of(rpc.picks.begin(), rpc.picks.end(), [&](const Pick &pick) {
                    if (!pick.open && proves_not_executed(pick.outcome)) return true;
                    if (method.repeat_policy == RepeatPolicy::non_idempotent) return false;
-                   return now < pick.sent + method.token_window &&
-                          same_group(method.token_scope, hosts[pick.host].entry, target.entry);
+                   return now < pick.sent_at + method.token_window &&
+                          in_same_scope(method.token_scope, hosts[pick.host].entry, target.entry);
                });
     }
 
@@ -297,646 +407,776 @@
         if (method.repeat_policy == RepeatPolicy::idempotent) return true;
         if (method.repeat_policy == RepeatPolicy::tokened && method.token_scope == TokenScope::all)
             return true;
-        return unrun(rpc);
+        return none_executed(rpc);
     }
 
-    // Rule 5: room under the cap for one more pick of this method at this build.
-    bool room_on_trial(int number, int method) {
-        const int stage = number == known.build ? known.stage : 0;
-        const bool guarded = stage < terms.rollout.guarded_stages;
-        if (cap(number) <= 0 || (guarded && terms.methods[method].repeat_policy != RepeatPolicy::idempotent))
+    // Rule 5: returns whether the exposure cap allows one more pick of this method at this build.
+    bool has_trial_room(int number, int method) {
+        const int stage = number == rollout_state.build ? rollout_state.stage : 0;
+        const bool guarded = stage < config.rollout.guarded_stages;
+        if (cap(number) <= 0 || (guarded && config.methods[method].repeat_policy != RepeatPolicy::idempotent))
             return false;
-        const auto [took, sent] = exposure(number, method);
-        return sent + 1 <= terms.rollout.picks_above_cap + cap(number) * took;
+        const auto [arrivals, sent] = exposure(number, method);
+        return sent + 1 <= config.rollout.picks_above_cap + cap(number) * arrivals;
     }
 
-    // Rule 5, by cell: room for one more pick under the release plan's share of this cell's RPCs. It narrows
-    // the cap above and never widens it. Stops a customer or a zone from carrying more than its stage.
-    bool room_in_cell(const Rpc &rpc, int number) {
-        if (terms.default_cell_share >= 1) return true;
-        forget_flows();
-        const int cell = rpc.from.cell;
-        if (room_seen.build == number && room_seen.cell == cell) return room_seen.held;
+    // Rule 5, by cell: returns whether the release plan's share of this cell's RPCs allows one more pick. The
+    // share narrows the exposure cap and never widens it. It keeps a customer or a zone from carrying more
+    // than its stage of the release plan.
+    bool has_cell_room(const Rpc &rpc, int number) {
+        if (config.default_cell_share >= 1) return true;
+        expire_cell_events();
+        const int cell = rpc.arrival.cell;
+        if (cell_room.build == number && cell_room.cell == cell) return cell_room.has_room;
         const double share = share_in_cell(number, cell);
-        const auto [took, sent] = cell_exposure(number, cell);
-        room_seen = {cell, number, share >= 1 || sent + 1 <= share * took};
-        return room_seen.held;
+        const auto [arrivals, sent] = cell_exposure(number, cell);
+        cell_room = {cell, number, share >= 1 || sent + 1 <= share * arrivals};
+        return cell_room.has_room;
     }
 
-    // Rule 4: this router's part of the push a cold host stands, set against what warm hosts of its size
-    // serve. All picks since its start count. Where that is under one, chance says which of many routers may
-    // send.
-    bool room_in_cold(Host &host) const {
-        const double warm = warmth(host);
+    // Rule 4: returns whether a cold host may have one more pick. Each router may send its part of the load
+    // that the host can take, measured by what warm hosts of its rating serve; all picks since the host's
+    // start count. Where that part is less than one pick, a random draw determines which routers may send.
+    bool has_cold_room(Host &host) const {
+        const double warm = warm_up_share(host);
         if (warm >= 1) return true;
-        forget(host.pushed, std::max(now - terms.overload_window, host.entry.started));
-        const double part = warm * pace * rating(host) * terms.overload_window / 10000.0;
-        const double allowed = kColdSafety * terms.overload_multiple * part;
-        const auto sent = static_cast<double>(host.pushed.size());
-        return sent + 1 <= std::max(kColdFloor / terms.instances, allowed) + host.dice;
+        drop_before(host.recent_picks, std::max(now - config.overload_window, host.entry.started));
+        const double capacity = warm * warm_pick_rate * rating(host) * config.overload_window / 10000.0;
+        const double allowed = kColdSafety * config.overload_multiple * capacity;
+        const auto sent = static_cast<double>(host.recent_picks.size());
+        return sent + 1 <= std::max(kColdFloor / config.instances, allowed) + host.cold_draw;
     }
 
-    // Rule 5: a key that a newer build has answered, or may have, goes to no lower one until that build is
-    // told to go back: also one that no news has named yet, and one released while the list still shows lower
-    // ones.
-    bool keys_allow(const Rpc &rpc, int number) const {
-        if (!terms.rollout.sticky_keys || rpc.from.key.empty()) return true;
-        return !held_by_newer(rpc.from.key, number, rpc.from.cell);
+    // Rule 5: a key that a newer build has, or may have, answered is not sent to a lower build until the
+    // newer one is rolled back. This includes builds that no rollout update has named yet, and a released
+    // build while the list still shows lower ones.
+    bool key_allows(const Rpc &rpc, int number) const {
+        if (!config.rollout.sticky_keys || rpc.arrival.key.empty()) return true;
+        return !held_by_newer(rpc.arrival.key, number, rpc.arrival.cell);
     }
 
-    // Rule 3: a list past its lease names no host to send to. Stops picks at hosts drained unheard. While
-    // discovery is presumed to be down, hosts that nothing speaks against go on: of the build that stays, as
-    // those of older ones drain after a release and those of the trial when it is withdrawn, and that have
-    // failed no pick. Stops an outage from ending all service; may send to a host drained for another reason
-    // where discovery is back and too crowded to say so.
-    bool listed_still(const Host &host) const {
-        if (list_holds()) return true;
-        return outage() && host.misses == 0 && host.entry.build == staying_build;
+    // Rule 3: after its lease has expired the list allows no host, as any may have been drained without
+    // notice. While discovery is presumed to be unavailable, hosts of the retained build stay in use that
+    // have no recent failure: hosts of older builds are drained after a release, and those of the trial when
+    // it is withdrawn. So an outage of discovery does not end all service. A pick may still go to a host that
+    // was drained for another reason, if discovery is back but too loaded to report it.
+    bool list_allows(const Host &host) const {
+        if (list_is_valid()) return true;
+        return discovery_outage() && host.consecutive_failures == 0 && host.entry.build == retained_build;
     }
 
     bool eligible(const Rpc &rpc, Host &host, bool trial) {
-        return listed_still(host) && usable(host) && on_trial(host.entry.build) == trial &&
-               keys_allow(rpc, host.entry.build) && may_repeat(rpc, host) && room_in_cold(host) &&
-               room_in_cell(rpc, host.entry.build) &&
-               (!trial || room_on_trial(host.entry.build, rpc.from.method));
+        return list_allows(host) && usable(host) && on_trial(host.entry.build) == trial &&
+               key_allows(rpc, host.entry.build) && may_repeat(rpc, host) && has_cold_room(host) &&
+               has_cell_room(rpc, host.entry.build) &&
+               (!trial || has_trial_room(host.entry.build, rpc.arrival.method));
     }
 
-    bool silent(const Host &host, int method) const {
-        return host.open > 0 && now - host.quiet_since > kSilence * usual_latency(method);
+    bool is_silent(const Host &host, int method) const {
+        return host.open_picks > 0 && now - host.silent_since > kSilenceLatencies * baseline_latency(method);
     }
 
-    // What other routers hold at a host: its report, filled up from what is usual for its weight. A lone
-    // router knows all by its own open picks.
-    double held_by_others(const Host &host, const Pool &pool) const {
-        const double usual_there = pool.others * host.weight;
-        if (host.others_at < 0 || now - host.others_at > kReportAge) return usual_there;
-        const double told = (1 - 1.0 / terms.instances) * host.others;
-        return usual_there + kReportTrust * (told - usual_there);
+    // Returns the RPCs of other routers at a host: its report, mixed with the average for its weight. A
+    // single router knows the whole load from its own open picks.
+    double load_of_others(const Host &host, const Pool &pool) const {
+        const double average = pool.peer_load * host.weight;
+        if (host.peer_load_at < 0 || now - host.peer_load_at > kReportLifetime) return average;
+        const double reported = (1 - 1.0 / config.instances) * host.peer_load;
+        return average + kReportWeight * (reported - average);
     }
 
+    // Returns the cost of a pick at the host; the cheapest host is chosen.
     double cost(const Rpc &rpc, const Host &host) {
-        const double held = 1 + host.open + held_by_others(host, pools[on_trial(host.entry.build)]);
-        double cost = held / host.weight;
-        cost *= std::exp(std::clamp(host.excess - lately.fleet, 0.0, 3.0));
-        // A large RPC goes by fast machines, a small one leaves them to it. Stops those whose work alone
-        // takes long on a slow machine from missing their soft deadline.
-        const auto kind = kind_excess.find(host.entry.kind);
-        if (kind != kind_excess.end()) cost *= std::exp((size_of(rpc) - 1) * kind->second);
-        const double sound = std::max(0.05, 1 - fails(host));
-        // A host that missed picks in a row is left for others, longer each time. Stops fast failures from
-        // drawing picks, dead or crowded hosts from using up an RPC's; keeps a router to hosts that know it.
-        cost *= 1 + missing(host);
-        cost /= std::pow(sound, method_of(rpc).repeat_policy == RepeatPolicy::idempotent ? 2 : 4);
-        if (silent(host, rpc.from.method)) cost *= 50;
-        // Where new connections are hard to have, those that stand carry the picks. Stops a fleet from using
-        // up what few its hosts accept, and RPCs from waiting for handshakes that time out.
-        if (many() && host.linked_until < now) cost *= 1 + kUnlinked * barred;
-        if (watching() && host.entry.build < known.build) cost *= kOlderCost;
+        const double load = 1 + host.open_picks + load_of_others(host, pools[on_trial(host.entry.build)]);
+        double cost = load / host.weight;
+        cost *= std::exp(std::clamp(host.excess_latency - current_figures.median_excess, 0.0, 3.0));
+        // Large RPCs prefer fast machines and small RPCs leave these to them, because the work of a large RPC
+        // alone can exceed its soft deadline on a slow machine.
+        const auto kind = kind_excess_latency.find(host.entry.kind);
+        if (kind != kind_excess_latency.end()) cost *= std::exp((bounded_work(rpc) - 1) * kind->second);
+        const double success_rate = std::max(0.05, 1 - failure_rate(host));
+        // A host that failed several picks in a row is avoided for longer each time. Otherwise fast failures
+        // would attract picks, and dead or full hosts would use up the picks of an RPC. It also keeps a
+        // router at hosts that it has connections to.
+        cost *= 1 + failure_penalty(host);
+        cost /= std::pow(success_rate, method_of(rpc).repeat_policy == RepeatPolicy::idempotent ? 2 : 4);
+        if (is_silent(host, rpc.arrival.method)) cost *= 50;
+        // Where new connections often fail, hosts with an open connection are preferred. Otherwise a fleet
+        // would use up the few connections that its hosts accept, and RPCs would wait for handshakes that
+        // time out.
+        if (is_large_fleet() && host.connected_until < now)
+            cost *= 1 + kUnconnectedCost * connect_failure_rate;
+        if (watching_release() && host.entry.build < rollout_state.build) cost *= kReplacedHostCost;
         return cost * (0.9 + 0.2 * rng.uniform());
     }
 
-    // A router with little traffic keeps to as many hosts as it hears of often, the first in an order of its
-    // own; others step in where these drain or fail. Stops a fleet of routers from opening a connection a
-    // pick, and each from knowing nothing of any host.
+    // Returns how many hosts of the pool this router uses. With little traffic it uses only as many as it can
+    // send picks to often, the first in its own order; others take the place of those that drain or fail.
+    // Otherwise each pick of a large fleet would open a connection, and no router would know any host's
+    // state.
     std::size_t reach(const Pool &pool) const {
-        if (!many()) return pool.hosts.size();
-        const double part = pool.total() / std::max(1e-9, pools[0].total() + pools[1].total());
-        const double heard = traffic * kHeardEach / 10000 * part;
-        return std::min(pool.hosts.size(), std::max(kLeastReach, static_cast<std::size_t>(heard)));
+        if (!is_large_fleet()) return pool.hosts.size();
+        const double part =
+            pool.total_weight() / std::max(1e-9, pools[0].total_weight() + pools[1].total_weight());
+        const double often_picked = first_try_rate * kHostPickInterval / 10000 * part;
+        return std::min(pool.hosts.size(), std::max(kMinReach, static_cast<std::size_t>(often_picked)));
     }
 
-    // The host that likely met the key of late. Where routers are many it is one of the few that this router
-    // hears of: one for all of them, each seeing little of its load, would be swamped.
-    int favourite_of(const Rpc &rpc, const Pool &pool) const {
-        if (!terms.rollout.key_affinity || rpc.from.key.empty()) return -1;
-        if (!many()) return pool.keeper(salted_hash(rpc.from.key, 3));
+    // Returns the host that is likely to have served the key recently; below 0 if there is none. In a large
+    // fleet it is one of the hosts that this router uses: a host shared by all routers, each of which sees
+    // little of its load, would be overloaded.
+    int preferred_host(const Rpc &rpc, const Pool &pool) const {
+        if (!config.rollout.key_affinity || rpc.arrival.key.empty()) return -1;
+        if (!is_large_fleet()) return pool.host_for_key(salted_hash(rpc.arrival.key, 3));
         int found = -1;
-        std::uint64_t most = 0;
+        std::uint64_t highest = 0;
         for (std::size_t i = 0; i < reach(pool); ++i) {
             const std::uint64_t draw =
-                salted_hash(rpc.from.key, salted_hash(hosts[pool.hosts[i]].entry.id, 3));
-            if (found < 0 || draw > most) found = pool.hosts[i], most = draw;
+                salted_hash(rpc.arrival.key, salted_hash(hosts[pool.hosts[i]].entry.id, 3));
+            if (found < 0 || draw > highest) {
+                found = pool.hosts[i];
+                highest = draw;
+            }
         }
         return found;
     }
 
-    // The best of some hosts drawn by weight: of all where few routers share the load, of a few where many
-    // do. Stops routers that see little of the load, and that late, from all picking the same host.
-    int choose(const Rpc &rpc, bool trial) {
+    // Returns the cheapest eligible host; below 0 if there is none. Hosts that the RPC has not used come
+    // first. A small fleet compares all hosts, a large one a few that are drawn by weight: routers that see
+    // little of the load, and that late, would otherwise all pick the same host.
+    int choose_host(const Rpc &rpc, bool trial) {
         weigh_hosts();
         const Pool &pool = pools[trial];
         if (pool.hosts.empty()) return -1;
-        int best = -1, last = -1;
-        double least = 0, least_last = 0;
-        const int favourite = favourite_of(rpc, pool);
+        int best = -1, best_used = -1;
+        double least = 0, least_used = 0;
+        const int preferred = preferred_host(rpc, pool);
         const auto consider = [&](int i) {
             if (!eligible(rpc, hosts[i], trial)) return;
-            const double price = cost(rpc, hosts[i]) * (i == favourite ? kWarmKeyCost : 1);
-            if (used(rpc, i)) {
-                if (last < 0 || price < least_last) last = i, least_last = price;
+            const double price = cost(rpc, hosts[i]) * (i == preferred ? kPreferredHostCost : 1);
+            if (has_used(rpc, i)) {
+                if (best_used < 0 || price < least_used) {
+                    best_used = i;
+                    least_used = price;
+                }
             } else if (best < 0 || price < least) {
-                best = i, least = price;
+                best = i;
+                least = price;
             }
         };
-        const std::size_t sample = std::max(kLeastDrawn, pool.hosts.size() * 2 / terms.instances);
-        if (sample < pool.hosts.size()) {
-            if (favourite >= 0) consider(favourite);
-            for (std::size_t i = 0; i < sample; ++i) consider(pool.drawn(rng.uniform(), reach(pool)));
+        const std::size_t candidates = std::max(kMinCandidates, pool.hosts.size() * 2 / config.instances);
+        if (candidates < pool.hosts.size()) {
+            if (preferred >= 0) consider(preferred);
+            for (std::size_t i = 0; i < candidates; ++i) consider(pool.draw_host(rng.uniform(), reach(pool)));
         }
-        if (best < 0 || hosts[best].misses > 0)
+        if (best < 0 || hosts[best].consecutive_failures > 0)
             for (const int i : pool.hosts) consider(i);
-        return best >= 0 ? best : last;
+        return best >= 0 ? best : best_used;
     }
 
-    // --- the mechanism ---
-    // The trial's part of the capacity, its cold hosts counted for what they can do by now.
-    double trial_part() const {
-        const double places = sound[0] + (terms.rollout.replaces_hosts ? sound[1] : 0);
-        return places > 0 ? std::min(1.0, sound[1] / places) : 1;
+    // --- Processing of RPCs ---
+
+    // Returns the trial's share of the healthy capacity. Cold hosts count with their present capacity.
+    double trial_capacity_share() const {
+        const double capacity = healthy_weight[0] + (config.rollout.replaces_hosts ? healthy_weight[1] : 0);
+        return capacity > 0 ? std::min(1.0, healthy_weight[1] / capacity) : 1;
     }
 
-    // The trial's share of a method's real RPCs: in step with its places, a stage apart by repeat.
+    // Returns the share of a method's RPCs that is drawn for the trial. It follows the stage and the trial's
+    // capacity. Methods that are harder to repeat join in later stages.
     double trial_share(int method) {
-        Build &build = of(known.build);
-        int first = 1 + static_cast<int>(terms.methods[method].repeat_policy);
-        if (!terms.second_copies && first == 1) first = 0;
-        // Where stages are few each has some of the last. Stops a build that fails one method alone from
-        // being released before anyone has met that.
-        first = std::min(first, static_cast<int>(terms.rollout.stage_shares.size()) - 1);
+        Build &build = build_state(rollout_state.build);
+        int first = 1 + static_cast<int>(config.methods[method].repeat_policy);
+        if (!config.second_copies && first == 1) first = 0;
+        // With few stages every method joins in the last one at the latest. Otherwise a build that fails one
+        // method alone could be released before it has received that method.
+        first = std::min(first, static_cast<int>(config.rollout.stage_shares.size()) - 1);
         double share = 0;
-        if (known.stage >= first) {
-            const auto stage = std::min<std::size_t>(known.stage, terms.rollout.stage_shares.size() - 1);
-            share = std::min(terms.rollout.stage_shares[stage], trial_part());
-            // A method with an effect starts at a trickle: a build that fails it alone shows in no pair.
-            const double proven =
-                build.proven[method] + (method < int(shown.size()) ? shown[method].succeeded() : 0);
-            if (first > 1) share *= std::min(1.0, (proven + 3) / 15.0);
+        if (rollout_state.stage >= first) {
+            const auto stage =
+                std::min<std::size_t>(rollout_state.stage, config.rollout.stage_shares.size() - 1);
+            share = std::min(config.rollout.stage_shares[stage], trial_capacity_share());
+            // A method with side effects starts with a small share, because it has no copies that would show
+            // a build which fails it alone.
+            const double successes =
+                build.successes[method] +
+                (method < int(fleet_trial_counts.size()) ? fleet_trial_counts[method].succeeded() : 0);
+            if (first > 1) share *= std::min(1.0, (successes + 3) / 15.0);
         }
-        build.range[method] = std::max(build.range[method], share);
-        return terms.rollout.sticky_keys ? build.range[method] : share;
+        build.key_ranges[method] = std::max(build.key_ranges[method], share);
+        return config.rollout.sticky_keys ? build.key_ranges[method] : share;
     }
 
-    Decision send(Rpc &rpc, int target, bool copy) {
+    Decision send_pick(Rpc &rpc, int target, bool copy) {
         Host &host = hosts[target];
         const bool trial = on_trial(host.entry.build);
         const Method &method = method_of(rpc);
-        const bool aged = host.entry.started <= 0 || now - host.entry.started > kColdSkip;
-        budget -= !rpc.picks.empty() && rpc.picks.back().outcome != Outcome::connect_failed;
-        rpc.picks.push_back({target, host.entry.build, now, trial, copy, aged, host.linked_until < now});
-        keep_key(rpc, rpc.picks.back());
-        if (host.open++ == 0) host.quiet_since = now;
-        ++open;
-        host.pushed.push_back(now);
-        forget(host.pushed, now - terms.overload_window);
-        if (trial) of(host.entry.build).picked[rpc.from.method].push_back(now);
-        if (terms.default_cell_share < 1) note_flow(rpc.from.cell, host.entry.build);
-        rpc.look_at = now + look_wait(rpc.from.method);
-        if (method.repeat_policy != RepeatPolicy::non_idempotent) due.emplace(rpc.look_at, rpc.from.id);
-        const Ticks left = rpc.from.deadline - now;
-        const Ticks span = std::max<Ticks>(1, copy ? std::min(left, method.soft_deadline * 2) : left);
-        return {.action = Action::pick, .rpc = rpc.from.id, .host = host.entry.id, .duration = span};
-    }
-
-    Ticks look_wait(int method) const {
-        const double aim = terms.methods[method].soft_deadline;
-        return std::clamp<double>(usual_latency(method) * kLookLatency, aim * kLookLeast, aim * kLookMost);
-    }
-
-    Decision finish(Rpc &rpc, bool push_back) {
+        const bool host_is_warm = host.entry.started <= 0 || now - host.entry.started > kColdHostAge;
+        retry_budget -= !rpc.picks.empty() && rpc.picks.back().outcome != Outcome::connect_failed;
+        rpc.picks.push_back(
+            {target, host.entry.build, now, trial, copy, host_is_warm, host.connected_until < now});
+        hold_key(rpc, rpc.picks.back());
+        if (host.open_picks++ == 0) host.silent_since = now;
+        ++total_open_picks;
+        host.recent_picks.push_back(now);
+        drop_before(host.recent_picks, now - config.overload_window);
+        if (trial) build_state(host.entry.build).recent_picks[rpc.arrival.method].push_back(now);
+        if (config.default_cell_share < 1) record_cell_event(rpc.arrival.cell, host.entry.build);
+        rpc.reroute_at = now + reroute_delay(rpc.arrival.method);
+        if (method.repeat_policy != RepeatPolicy::non_idempotent)
+            timers.emplace(rpc.reroute_at, rpc.arrival.id);
+        const Ticks remaining = rpc.arrival.deadline - now;
+        const Ticks timeout =
+            std::max<Ticks>(1, copy ? std::min(remaining, method.soft_deadline * 2) : remaining);
+        return {.action = Action::pick, .rpc = rpc.arrival.id, .host = host.entry.id, .duration = timeout};
+    }
+
+    Ticks reroute_delay(int method) const {
+        const double soft_deadline = config.methods[method].soft_deadline;
+        return std::clamp<double>(baseline_latency(method) * kRerouteLatencies,
+                                  soft_deadline * kMinRerouteShare, soft_deadline * kMaxRerouteShare);
+    }
+
+    // Ends the RPC without an answer: it is pushed back if that is asked for and allowed, otherwise aborted.
+    Decision reject(Rpc &rpc, bool push_back) {
         settle(rpc);
         ++turned_away;
-        if (!push_back || !may_push_back(rpc)) return {.action = Action::abort, .rpc = rpc.from.id};
-        const auto pause = static_cast<Ticks>(kPause * (1 + rng.uniform()));
+        if (!push_back || !may_push_back(rpc)) return {.action = Action::abort, .rpc = rpc.arrival.id};
+        const auto retry_after = static_cast<Ticks>(kRetryAfter * (1 + rng.uniform()));
         return {.action = Action::push_back,
-                .rpc = rpc.from.id,
-                .duration = std::min(terms.max_retry_after, pause)};
+                .rpc = rpc.arrival.id,
+                .duration = std::min(config.max_retry_after, retry_after)};
     }
 
-    double worth_part(const Rpc &rpc) const {
-        double most = 1e-9;
-        for (std::size_t i = 0; i < terms.methods.size(); ++i) most = std::max(most, usefulness(i));
-        const double part = kLeastWorth + (1 - kLeastWorth) * usefulness(rpc.from.method) / most;
-        return part * (rpc.over_share ? kOverShare : 1);
+    // Returns the part of a limit that the RPC may use, by its utility and its tenant's quota.
+    double utility_share(const Rpc &rpc) const {
+        double highest = 1e-9;
+        for (std::size_t i = 0; i < config.methods.size(); ++i) highest = std::max(highest, utility_rate(i));
+        const double part =
+            kMinUtilityShare + (1 - kMinUtilityShare) * utility_rate(rpc.arrival.method) / highest;
+        return part * (rpc.over_quota ? kOverQuotaShare : 1);
     }
 
-    bool crowded(double part) const { return open >= kFirstRoom * terms.max_open_picks * part; }
+    bool is_full(double part) const {
+        return total_open_picks >= kOpenPickShare * config.max_open_picks * part;
+    }
 
-    // A method that comes past its soft deadline at every host while others do not is worth next to nothing,
-    // and holds the place of those: most of it is pushed back, the rest tells when that is over.
-    bool past_hope(const Rpc &rpc) {
-        const auto &[late, seen] = lateness[rpc.from.method];
-        const double least = least_late(terms.methods.size(), now - kLateSpan * 4);
-        return late > 1 && seen > now - kLateSpan * 4 && least < late * kCalmPart && rng.uniform() > kAskPart;
+    // A method that exceeds its soft deadline at every host while others do not gives next to no utility and
+    // takes capacity from those. Most of its RPCs are pushed back; the rest shows when it recovers.
+    bool is_hopeless(const Rpc &rpc) {
+        const auto &[late, updated] = lateness[rpc.arrival.method];
+        const double least = least_lateness(config.methods.size(), now - kLatenessWindow * 4);
+        return late > 1 && updated > now - kLatenessWindow * 4 && least < late * kHopelessLatenessRatio &&
+               rng.uniform() > kHopelessProbeShare;
     }
 
-    // Pushback, least utility for its work first and tenants past their quota before all: under the limit,
-    // for want of room, or by the wait to expect, which is what is pending over what was answered a second
-    // at best. Stops jams before they show in answers; may push back at the head of a steep burst.
-    bool shed(const Rpc &rpc) {
-        const double part = worth_part(rpc), late_by = wait / method_of(rpc).soft_deadline / part;
-        return crowded(part) || past_hope(rpc) ||
-               (limit > 0 && open + rng.uniform() * many() >= limit * part) ||
-               rng.uniform() < (late_by - kHopeful) / (kHopeless - kHopeful);
+    // Returns whether to push the RPC back: over the limit on open picks, at the bound on open picks, or by
+    // the expected wait, which is the pending RPCs over the best answer rate. RPCs of least utility for their
+    // work go first, and tenants over their quota before all. This acts before congestion shows in answers,
+    // and may push back at the beginning of a steep burst.
+    bool should_push_back(const Rpc &rpc) {
+        const double part = utility_share(rpc);
+        const double wait = expected_wait / method_of(rpc).soft_deadline / part;
+        return is_full(part) || is_hopeless(rpc) ||
+               (open_pick_limit > 0 &&
+                total_open_picks + rng.uniform() * is_large_fleet() >= open_pick_limit * part) ||
+               rng.uniform() < (wait - kShedNoneWait) / (kShedAllWait - kShedNoneWait);
     }
 
-    // Is there room for picks beyond the first? In a crowd they only take it from others.
-    bool spare(const Rpc &rpc) const { return limit <= 0 && wait < method_of(rpc).soft_deadline * kCrowded; }
+    // Returns whether there is capacity for further picks of an RPC. During congestion they would only take
+    // it from other RPCs.
+    bool has_spare_capacity(const Rpc &rpc) const {
+        return open_pick_limit <= 0 && expected_wait < method_of(rpc).soft_deadline * kSpareWait;
+    }
 
-    double usefulness(std::size_t method) const {
-        const double utility = terms.methods[method].utility;
-        return terms.utility_per_work ? utility : utility / usual_latency(static_cast<int>(method));
+    // Returns the utility of the method per unit of work.
+    double utility_rate(std::size_t method) const {
+        const double utility = config.methods[method].utility;
+        return config.utility_per_work ? utility : utility / baseline_latency(static_cast<int>(method));
     }
 
-    Decision advance(Rpc &rpc) {
-        if (rpc.done) return cut_rest(rpc);
-        if (now >= rpc.from.deadline) return finish(rpc, false);
+    Decision process(Rpc &rpc) {
+        if (rpc.done) return cancel_open_picks(rpc);
+        if (now >= rpc.arrival.deadline) return reject(rpc, false);
         if (rpc.picks.empty()) return first_pick(rpc);
-        const bool spare = static_cast<int>(rpc.picks.size()) < terms.max_picks;
-        if (rpc.want_copy) {
-            rpc.want_copy = false;
-            const int target = spare && budget >= 1 ? choose(rpc, true) : -1;
-            if (target >= 0) return send(rpc, target, true);
+        const bool picks_left = static_cast<int>(rpc.picks.size()) < config.max_picks;
+        if (rpc.copy_requested) {
+            rpc.copy_requested = false;
+            const int target = picks_left && retry_budget >= 1 ? choose_host(rpc, true) : -1;
+            if (target >= 0) return send_pick(rpc, target, true);
         }
-        if (const auto count = open_picks(rpc); count > 0)
-            return count == 1 && spare ? look_elsewhere(rpc) : Decision{};
-        const bool paid = budget >= 1 || (unrun(rpc) && budget > -kBudgetMost);
-        if (spare && paid && rpc.from.deadline - now > usual_latency(rpc.from.method) / 2) {
-            int target = choose(rpc, false);
-            if (target < 0) target = choose(rpc, true);
-            if (target >= 0) return send(rpc, target, false);
+        if (const auto count = count_open_picks(rpc); count > 0)
+            return count == 1 && picks_left ? try_another_host(rpc) : Decision{};
+        const bool within_budget =
+            retry_budget >= 1 || (none_executed(rpc) && retry_budget > -kMaxRetryBudget);
+        if (picks_left && within_budget &&
+            rpc.arrival.deadline - now > baseline_latency(rpc.arrival.method) / 2) {
+            int target = choose_host(rpc, false);
+            if (target < 0) target = choose_host(rpc, true);
+            if (target >= 0) return send_pick(rpc, target, false);
         }
-        return finish(rpc, true);
+        return reject(rpc, true);
     }
 
     Decision first_pick(Rpc &rpc) {
         const Method &method = method_of(rpc);
-        const bool drawn = trial_runs() && rpc.place < trial_share(rpc.from.method);
-        // A jam of the earlier hosts is none of the trial's where these are clearly emptier: its part is
-        // sent, where few routers know the load. Stops a release that fails late from starving its heir.
-        const bool jam = drawn && !many() && limit > 0 && pools[0].load > pools[1].load * kFuller;
-        if (!(jam && !crowded(1) && choose(rpc, true) >= 0) && shed(rpc)) return finish(rpc, true);
-        const bool copyable = trial_runs() && terms.second_copies &&
-                              method.repeat_policy == RepeatPolicy::idempotent && !rpc.from.retry &&
-                              spare(rpc) && !method.streams_answer;
-        const int newer = drawn || copyable ? choose(rpc, true) : -1;
-        int target = choose(rpc, false);
-        // The draw yields where the trial's hosts are clearly fuller. Stops the hand-over from jamming them
-        // while others have room: cold or lost hosts, popular keys, a slow build. Fewer picks judge it.
-        const bool fuller = newer >= 0 && target >= 0 && pools[1].load > pools[0].load * kFuller;
-        if (drawn && newer >= 0) yielding += (fuller - yielding) * 0.03;
-        if (drawn && newer >= 0 && (!fuller || terms.rollout.sticky_keys)) target = newer;
-        // Where no earlier host may take it, the trial does as far as its cap allows, whatever the stage.
-        if (target < 0) target = choose(rpc, true);
-        if (target < 0) return finish(rpc, true);
-        // A copy is drawn by what the trial's hosts can bear beside their real traffic. Stops copies, of
-        // retries too, from swamping them, cold ones above all, which would read as divergence.
-        const double bearable = trial_part() * (known.stage > 0 ? kCopyBeside : 1);
-        rpc.want_copy = copyable && newer >= 0 && !fuller && target != newer && rng.uniform() < bearable;
-        return send(rpc, target, false);
-    }
-
-    // An RPC at a host that is silent or far slower than the rest looks elsewhere: beside it where second
-    // copies are allowed, else in its place. Stops silent, stalled and slow hosts from holding RPCs past
-    // their soft deadline; adds load when many hosts stall at once, which the budget bounds.
-    Decision look_elsewhere(Rpc &rpc) {
+        const bool drawn = trial_running() && rpc.trial_position < trial_share(rpc.arrival.method);
+        // In a small fleet, which knows the load, congestion of the earlier hosts does not hold back the
+        // trial's part while the trial's hosts are clearly emptier. Otherwise an earlier release that begins
+        // to fail late would keep its successor from receiving RPCs.
+        const bool earlier_congested =
+            drawn && !is_large_fleet() && open_pick_limit > 0 && pools[0].load > pools[1].load * kFullerRatio;
+        if (!(earlier_congested && !is_full(1) && choose_host(rpc, true) >= 0) && should_push_back(rpc))
+            return reject(rpc, true);
+        const bool copyable = trial_running() && config.second_copies &&
+                              method.repeat_policy == RepeatPolicy::idempotent && !rpc.arrival.retry &&
+                              has_spare_capacity(rpc) && !method.streams_answer;
+        const int trial_host = drawn || copyable ? choose_host(rpc, true) : -1;
+        int target = choose_host(rpc, false);
+        // An RPC drawn for the trial goes to the earlier hosts where the trial's are clearly fuller.
+        // Otherwise moving the traffic would congest them while others have capacity: cold or lost hosts,
+        // popular keys, a slow build. The trial is then judged by fewer picks.
+        const bool fuller = trial_host >= 0 && target >= 0 && pools[1].load > pools[0].load * kFullerRatio;
+        if (drawn && trial_host >= 0) yield_share += (fuller - yield_share) * 0.03;
+        if (drawn && trial_host >= 0 && (!fuller || config.rollout.sticky_keys)) target = trial_host;
+        // Where no earlier host is eligible the trial takes the RPC, whatever the stage, as far as its cap
+        // allows.
+        if (target < 0) target = choose_host(rpc, true);
+        if (target < 0) return reject(rpc, true);
+        // Copies are limited by what the trial's hosts can take in addition to real traffic. Otherwise
+        // copies, also of retries, could overload them, above all cold ones, which would count as failures.
+        const double copy_share = trial_capacity_share() * (rollout_state.stage > 0 ? kCopyShare : 1);
+        rpc.copy_requested =
+            copyable && trial_host >= 0 && !fuller && target != trial_host && rng.uniform() < copy_share;
+        return send_pick(rpc, target, false);
+    }
+
+    // Tries another host for an RPC at a host that is silent or far slower than the median: in addition where
+    // second copies are allowed, otherwise in its place. This keeps silent, stalled and slow hosts from
+    // holding RPCs past their soft deadline. It adds load when many hosts stall at once, which the budget
+    // bounds.
+    Decision try_another_host(Rpc &rpc) {
         const Method &method = method_of(rpc);
-        const bool beside = terms.second_copies && method.repeat_policy == RepeatPolicy::idempotent;
+        const bool in_addition = config.second_copies && method.repeat_policy == RepeatPolicy::idempotent;
         if (method.repeat_policy == RepeatPolicy::non_idempotent || method.streams_answer ||
-            now < rpc.look_at)
+            now < rpc.reroute_at)
             return {};
         const auto at =
             std::find_if(rpc.picks.begin(), rpc.picks.end(), [](auto &pick) { return pick.open; });
         const Host &host = hosts[at->host];
-        const bool slow = silent(host, rpc.from.method) || host.excess - lately.fleet > std::log(kSlowAil);
-        const int target = slow && !at->cut && budget >= 1 && spare(rpc) ? choose(rpc, false) : -1;
-        if (target < 0 || used(rpc, target) || (!beside && !terms.may_cancel)) {
-            rpc.look_at = now + look_wait(rpc.from.method) / 2;
-            due.emplace(rpc.look_at, rpc.from.id);
+        const bool slow = is_silent(host, rpc.arrival.method) ||
+                          host.excess_latency - current_figures.median_excess > std::log(kTroubleSlowdown);
+        const int target = slow && !at->cancelled && retry_budget >= 1 && has_spare_capacity(rpc)
+                               ? choose_host(rpc, false)
+                               : -1;
+        if (target < 0 || has_used(rpc, target) || (!in_addition && !config.may_cancel)) {
+            rpc.reroute_at = now + reroute_delay(rpc.arrival.method) / 2;
+            timers.emplace(rpc.reroute_at, rpc.arrival.id);
             return {};
         }
-        if (beside) return send(rpc, target, false);
-        at->cut = true;
-        return {
-            .action = Action::cancel, .rpc = rpc.from.id, .pick = static_cast<int>(at - rpc.picks.begin())};
+        if (in_addition) return send_pick(rpc, target, false);
+        at->cancelled = true;
+        return {.action = Action::cancel,
+                .rpc = rpc.arrival.id,
+                .pick = static_cast<int>(at - rpc.picks.begin())};
     }
 
-    // Losers of a finished RPC are cut; a copy runs on, as its end is evidence, unless there is no room.
-    Decision cut_rest(Rpc &rpc) {
+    // Cancels the remaining picks of an RPC that is done. A copy continues, as its outcome is evidence,
+    // unless open picks are limited.
+    Decision cancel_open_picks(Rpc &rpc) {
         for (Pick &pick : rpc.picks) {
-            if (!pick.open || pick.cut || (pick.copy && limit <= 0) || !terms.may_cancel) continue;
-            pick.cut = true;
+            if (!pick.open || pick.cancelled || (pick.copy && open_pick_limit <= 0) || !config.may_cancel)
+                continue;
+            pick.cancelled = true;
             return {.action = Action::cancel,
-                    .rpc = rpc.from.id,
+                    .rpc = rpc.arrival.id,
                     .pick = static_cast<int>(&pick - rpc.picks.data())};
         }
         return {};
     }
 
-    // --- votes ---
-    Evidence gather(const Build &build) const {
-        Evidence seen =
-            collect(build, now - kEvidenceAge, now - kEvidenceAge / 2, kBesides, kSlowSample, calm.fleet);
-        seen.usual = earlier_fails;
-        if (seen.medians.empty() || trial_part() > kMinority) return seen;
-        // A slow build is slow on most hosts: the middle one speaks, and few hosts must speak louder. Stops
-        // votes back for a neighbour or a weaker machine under the trial; a mildly slow build shows later.
-        seen.slow = seen.medians[(seen.medians.size() - 1) / 2];
-        seen.slow_bar = slow_bar(static_cast<double>(seen.medians.size()));
-        return seen;
-    }
-
-    double slow_bar(double hosts_timed) const {
-        return std::log(kSlowRatio * (terms.rollout.key_affinity ? kColdKeys : 1) *
-                        (1 + kFewHosts / hosts_timed));
-    }
-
-    // What all routers saw: the platform's tallies, or else what peers told. Stops a build that no router
-    // alone has pairs enough to find. Tallies come late, and neither tells which hosts failed.
-    Evidence gather_told() {
-        Evidence told = compare_all(pool(), kBackPairs, kBeat, now - kEvidenceAge / 2);
-        // Where the trial carries most the few picks of the earlier hosts, which stand idle beside it by
-        // then, are no measure of its latency.
-        const bool witnessed = terms.rollout.replaces_hosts || trial_part() <= kMinority;
-        if (told.timed < kBackPairs || limit > 0 || !witnessed) told.slow = 0;
-        // Tallies count picks that no host took as failures; own picks tell how many those are.
-        if (!tallies.empty()) told.usual += of(known.build).tried.failure_share();
-        const double chance = kSlowChance / std::sqrt(std::max(1.0, told.timed));
-        told.slow_bar = slow_bar(hosts_there()) + chance;
-        return told;
-    }
-
-    // Each tells its word to a few, drawn for all alike and anew each round, and these tell the sum to all.
-    // Stops words from costing the square of the routers, or from coming a stage late.
-    TrialSummary pool() { return pooled(now - 5 * kTellRound / 2, own_word(now - kEvidenceAge)); }
-
-    Decision tell() {
-        if (!terms.exchanges_summaries || terms.ordinal < 0 || !(trial_runs() || fresh())) return {};
-        const Ticks round = (now - stage_at) / kTellRound;
-        if (round != std::exchange(tell_round, round)) {
-            tell_left = kCollectors;
-            tell_at = now + static_cast<Ticks>(kTellRound / 2 * rng.uniform());
-            for (int which = 0; which < kCollectors; ++which)
-                if (drawn_peer((round - 1) * kCollectors + which) == terms.ordinal)
-                    return {.action = Action::send_summary, .text = pool().encode()};
+    // --- Votes ---
+
+    Evidence own_evidence(const Build &build) const {
+        Evidence own =
+            collect_own_evidence(build, now - kEvidenceLifetime, now - kEvidenceLifetime / 2,
+                                 kMinEarlierLatencies, kMinHostLatencies, baseline_figures.median_excess);
+        own.baseline_failure_share = earlier_failure_share;
+        if (own.host_medians.empty() || trial_capacity_share() > kMinorityShare) return own;
+        // A slow build is slow on most hosts, so the median host decides, with a higher limit for few hosts.
+        // Otherwise a noisy neighbour or a weaker machine under the trial would cause a vote to roll back. A
+        // build that is only slightly slow is found later.
+        own.slowdown = own.host_medians[(own.host_medians.size() - 1) / 2];
+        own.slowdown_limit = slowdown_limit(static_cast<double>(own.host_medians.size()));
+        return own;
+    }
+
+    double slowdown_limit(double timed_hosts) const {
+        return std::log(kTrialSlowdown * (config.rollout.key_affinity ? kColdKeySlowdown : 1) *
+                        (1 + kFewHostsSlowdown / timed_hosts));
+    }
+
+    // Returns the evidence from all routers, from the platform stats or else from the peers' summaries. It
+    // finds builds that no single router has enough picks to find. Platform stats come late, and neither
+    // source tells which hosts failed.
+    Evidence fleet_evidence() {
+        Evidence fleet =
+            compare_fleet(pooled_summary(), kMinRollBackPicks, kUpdateInterval, now - kEvidenceLifetime / 2);
+        // Where the trial carries most of the traffic, the few picks at the earlier hosts, which are nearly
+        // idle by then, are no measure for its latency.
+        const bool comparable = config.rollout.replaces_hosts || trial_capacity_share() <= kMinorityShare;
+        if (fleet.timed < kMinRollBackPicks || open_pick_limit > 0 || !comparable) fleet.slowdown = 0;
+        // Platform stats count picks that no host executed as failures; this router's own picks tell how many
+        // those are.
+        if (!platform_stats.empty())
+            fleet.baseline_failure_share += build_state(rollout_state.build).own_picks.failure_share();
+        const double by_chance = kLatencyDeviation / std::sqrt(std::max(1.0, fleet.timed));
+        fleet.slowdown_limit = slowdown_limit(trial_host_count()) + by_chance;
+        return fleet;
+    }
+
+    // Returns the sum of the summaries. Each router sends its summary to a few collectors, which are drawn
+    // anew each round in the same way by all routers, and these send the sum to all. So the number of
+    // messages does not grow with the square of the routers, and summaries arrive within the stage.
+    TrialSummary pooled_summary() {
+        return pool_summaries(now - 5 * kSummaryRound / 2, own_summary(now - kEvidenceLifetime));
+    }
+
+    Decision send_summary() {
+        if (!config.exchanges_summaries || config.ordinal < 0 || !(trial_running() || recently_released()))
+            return {};
+        const Ticks round = (now - stage_began_at) / kSummaryRound;
+        if (round != std::exchange(summary_round, round)) {
+            summaries_left = kSummaryCollectors;
+            next_summary_at = now + static_cast<Ticks>(kSummaryRound / 2 * rng.uniform());
+            for (int which = 0; which < kSummaryCollectors; ++which)
+                if (draw_peer((round - 1) * kSummaryCollectors + which) == config.ordinal)
+                    return {.action = Action::send_summary, .text = pooled_summary().encode()};
         }
-        while (now >= tell_at && tell_left > 0)
-            if (const int peer = drawn_peer(round * kCollectors + --tell_left); peer != terms.ordinal)
+        while (now >= next_summary_at && summaries_left > 0)
+            if (const int peer = draw_peer(round * kSummaryCollectors + --summaries_left);
+                peer != config.ordinal)
                 return {.action = Action::send_summary,
-                        .text = own_word(now - kEvidenceAge).encode(),
+                        .text = own_summary(now - kEvidenceLifetime).encode(),
                         .peer = peer};
         return {};
     }
 
-    bool fresh() const { return watching() && released_at >= 0 && now - released_at < kWatch; }
+    bool recently_released() const {
+        return watching_release() && released_at >= 0 && now - released_at < kReleaseWatch;
+    }
 
-    double hosts_there() const { return std::max<std::size_t>(1, pools[trial_runs()].hosts.size()); }
+    double trial_host_count() const { return std::max<std::size_t>(1, pools[trial_running()].hosts.size()); }
 
-    // Of many routers some one meets several bad hosts by chance. Stops it from sending a good build back for
-    // all: its own failures speak only where they have struck that many hosts, more of them the more routers.
-    bool strikes_few(const Evidence &seen) const {
-        const long struck = seen.struck();
-        return many() && struck < kBackDivergences + std::log10(terms.instances) &&
-               struck < static_cast<long>(seen.by_host.size());
+    // Returns whether too few hosts failed picks of this router. In a large fleet some router meets several
+    // bad hosts by chance, and must not roll a good build back for all. So its own failures count only where
+    // they are on several hosts, on more the larger the fleet is.
+    bool strikes_few_hosts(const Evidence &own) const {
+        const long failing_hosts = own.failing_hosts();
+        return is_large_fleet() && failing_hosts < kMinRollBackFailures + std::log10(config.instances) &&
+               failing_hosts < static_cast<long>(own.by_host.size());
     }
 
-    // Has it answered or failed often enough of late for its figures to be its own? Stops a router of many,
-    // that meets each host now and then, from taking one slow answer for a sick host.
-    bool known_well(const Host &host) const { return faded(host.heard, host.heard_at) >= kHeardWell; }
-    bool unwell(const Host &host) const {
-        return fails(host) > kAilShare || missing(host) > 1 ||
-               host.excess - lately.fleet > std::log(kSlowAil);
+    // Returns whether the host has had enough recent outcomes for its figures to be meaningful. A router of a
+    // large fleet, which sends a host a pick now and then, must not take one slow answer for trouble.
+    bool has_enough_outcomes(const Host &host) const {
+        return decayed(host.outcomes, host.outcomes_at) >= kMinHostOutcomes;
+    }
+    bool in_trouble(const Host &host) const {
+        return failure_rate(host) > kTroubleFailureRate || failure_penalty(host) > 1 ||
+               host.excess_latency - current_figures.median_excess > std::log(kTroubleSlowdown);
     }
 
-    // The chance that trouble which strikes hosts blindly would strike the trial's eldest, all up to the last
-    // unwell one. Stops builds bad with age or load, which routing hides as it turns from their hosts.
-    double blind_chance() const {
+    // Returns the probability that trouble which strikes hosts at random has struck the trial's oldest hosts,
+    // all up to the first that is not in trouble. This finds builds that fail with age or load, which routing
+    // hides as it turns away from their hosts.
+    double random_trouble_probability() const {
         std::vector<std::pair<Ticks, bool>> trial;
-        double struck = 0, all = 0;
+        double troubled = 0, all = 0;
         for (const Host &host : hosts) {
-            if (!usable(host) || now - host.entry.started < kColdSkip || !known_well(host)) continue;
-            ++all, struck += unwell(host);
-            if (on_trial(host.entry.build)) trial.emplace_back(host.entry.started, unwell(host));
+            if (!usable(host) || now - host.entry.started < kColdHostAge || !has_enough_outcomes(host))
+                continue;
+            ++all;
+            troubled += in_trouble(host);
+            if (on_trial(host.entry.build)) trial.emplace_back(host.entry.started, in_trouble(host));
         }
-        return chance_eldest(std::move(trial), struck, all);
+        return probability_of_oldest(std::move(trial), troubled, all);
     }
 
-    // Log odds that complaints, some of them false, come of the build: against the rate that others draw.
-    double flag_odds(const Evidence &told) const {
-        if (terms.rollout.flag_share <= 0) return 0;
-        double flags = 1, answers = kFlagPrior;
+    // Returns the log odds that flagged answers, some of them flagged wrongly, are due to the build, against
+    // the rate of flags on other builds.
+    double flag_log_odds(const Evidence &fleet) const {
+        if (config.rollout.flag_share <= 0) return 0;
+        double flags = 1, answers = kFlagPriorAnswers;
         for (const auto &[number, build] : builds)
-            if (number < known.build) flags += build.flags, answers += build.answers;
-        const double usual_rate = flags / answers;
-        const double bad_rate = usual_rate + terms.rollout.flag_share * kWrongShare;
-        return told.answers.failed * std::log(bad_rate / usual_rate) -
-               told.answers.picks * (bad_rate - usual_rate);
+            if (number < rollout_state.build) {
+                flags += build.flags;
+                answers += build.answers;
+            }
+        const double baseline_rate = flags / answers;
+        const double bad_rate = baseline_rate + config.rollout.flag_share * kWrongAnswerShare;
+        return fleet.answers.failed * std::log(bad_rate / baseline_rate) -
+               fleet.answers.picks * (bad_rate - baseline_rate);
     }
 
-    // The bar falls as the sample grows, and rises where the earlier build fails: trouble strikes hosts, few
-    // unevenly. Stops a build that fails a tenth of its picks from passing under the first sample's bar.
-    bool fails_much(const Evidence &seen, double part = 1, double turned_away = 0) const {
-        const auto much = [&](const PickCounts &count, int least, double share) {
+    // Returns whether the failures exceed `part` of the limit. The limit falls as the sample grows, so that a
+    // build which fails a tenth of its picks does not stay under the limit of a small sample. It rises where
+    // the earlier builds fail, since trouble strikes hosts, and a few hosts unevenly.
+    bool fails_too_often(const Evidence &evidence, double part = 1, double turned_away_share = 0) const {
+        const auto exceeds = [&](const PickCounts &count, int least, double share) {
             const double picks = std::max<double>(least, count.picks);
-            const double uneven = kUneven * std::sqrt(seen.usual * (1 / hosts_there() + 1 / picks));
-            const double unseen = seen.alone * kHostsFail;
-            const double bar =
-                std::max(kLeastShare, share * least / picks) + seen.usual + uneven + unseen + turned_away;
-            return count.picks >= least * part && count.failed > bar * count.picks * part &&
-                   count.failed >= std::min<double>(least, kBackDivergences) * part;
+            const double uneven = kUnevenDeviations * std::sqrt(evidence.baseline_failure_share *
+                                                                (1 / trial_host_count() + 1 / picks));
+            const double uncompared = evidence.uncompared_share * kUncomparedFailureShare;
+            const double limit = std::max(kMinFailureLimit, share * least / picks) +
+                                 evidence.baseline_failure_share + uneven + uncompared + turned_away_share;
+            return count.picks >= least * part && count.failed > limit * count.picks * part &&
+                   count.failed >= std::min<double>(least, kMinRollBackFailures) * part;
         };
-        return much(seen.all, kBackPairs, kBackShare) ||
-               std::any_of(seen.by_method.begin(), seen.by_method.end(),
-                           [&](const PickCounts &count) { return much(count, kMethodPairs, kMethodShare); });
-    }
-
-    // Tallies count picks that full hosts turned away as failures, and a router of many meets too few of
-    // those to know how many. Stops a good build from being sent back for a crowd at its first, cold hosts:
-    // so many of the tallied failures count only where own failures bear them out. A bad build is found once
-    // one router of all has met them.
-    // Not where several must agree: each of them would have to meet some.
-    bool borne_out(const Evidence &seen) const {
-        const bool one_decides = terms.rollout.advance_policy == AdvancePolicy::any_vote;
-        return tallies.empty() || !many() || !one_decides || seen.all.failed >= kOwnFailures;
-    }
-
-    // All picks slower than when the trial began, by more than more first tries or fewer sound hosts explain:
-    // the build slows or jams all hosts. Stops one whose harm shows at none of its own. Some hosts are slow
-    // by their own fault: so the bar is high, over what the first stage had, while the trial carries much.
-    bool slows_all(const Evidence &told) {
-        if (trial_runs() && known.stage == 0) early_rise = std::max(0.0, told.pace);
-        const double then = calm.sound > 0 ? calm.sound : lately.sound; // it started since and knows no calm
-        const double load = told.more * then / std::max(1e-9, lately.sound);
-        const double explained = kLoadRise * std::max(0.0, std::log(load)) + kFailRise * earlier_fails;
-        const double bar = std::log(kSlowedRatio) + explained;
-        const bool carries = trial_runs() && (known.stage >= kMuchFrom || in_last_stage());
-        const bool telling = !tallies.empty() || told.witnesses * 2 > terms.instances;
-        const bool open_case = many() && (fresh() || carries) && telling && !calm.limited;
-        lasts(open_case && told.pace - early_rise > bar * kSharedDoubt, suspect_since, kSlowFor);
-        return lasts(open_case && told.pace - early_rise > bar, shared_since, kSlowFor);
-    }
-
-    Verdict judgement() {
-        const Evidence seen = gather(of(known.build)), told = gather_told();
-        const double odds = flag_odds(told);
-        if (odds > kFlagProof + std::log(terms.instances)) return back("flags", seen, odds);
-        const bool pooled = !tallies.empty() || (told.routers > 1 && told.routers * 2 > terms.instances);
-        const bool enough = trial_runs() && pooled && told.before.picks >= kBackPairs;
-        const bool sees = fails_much(seen) && !strikes_few(seen);
-        const double turned_away = borne_out(seen) ? 0 : kTurnedAway;
-        const bool failing = sees || (enough && fails_much(told, 1, turned_away));
-        if (trial_runs() && many()) shown = told.by_method;
-        // One method alone, against the earlier build's and the trial's other methods, as hosts' troubles
-        // strike all. Stops a build that fails a rare method from doing harm until that has a sample of its
-        // own.
-        const auto odds_of = [](auto &e) { return e.method_odds(kMethodFails, kLeastFails, kFewPicks); };
-        const double odds_own = odds_of(seen) - std::log(terms.instances), odds_all = odds_of(told);
-        if (trial_runs() && many() && std::max(odds_own, pooled ? odds_all : 0) > kMethodProof)
-            return back("one method", odds_own > odds_all ? seen : told, std::max(odds_own, odds_all));
-        // A lone host's failures may be its own: the trial waits, then goes on, as more hosts tell.
-        const bool lone = trial_runs() && pools[1].hosts.size() == 1;
-        const bool waited = now - stage_at > kLoneFor;
-        if (lone && waited && terms.rollout.advance_policy != AdvancePolicy::timer) return Verdict::advance;
-        // A neighbour, a failing or silent host under the trial is not the build.
-        const bool theirs =
-            seen.by_host.size() > 1 && seen.on_worst_third() > kConcentrated * seen.all.failed;
-        if (failing && !lone && !theirs) return back("failures", sees ? seen : told, seen.usual);
-        const double blind = trial_runs() ? blind_chance() : 1;
-        // Any of many routers may meet what is unlikely for one.
-        const double all = std::max(std::sqrt(terms.instances), 1.0 * terms.instances / kFewRouters);
-        if (lasts(blind < kBlind / all, struck_since, kSlowFor)) return back("its hosts", seen, blind);
-        if (slows_all(told)) return back("slowing all", told, told.pace);
-        if (watching()) return Verdict::none;
-        const bool slow = seen.slow > seen.slow_bar;
-        const bool told_slow = enough && told.slow > told.slow_bar;
-        if (lasts(slow, slow_since, kSlowFor) && !lone) return back("latency", seen, std::exp(seen.slow));
-        if (told_slow && !lone) return back("tallied latency", told, std::exp(told.slow));
-        if (terms.rollout.advance_policy == AdvancePolicy::timer) {
-            const bool doubtful =
-                seen.all.picks >= kHoldPairs && seen.all.failure_share() > kHoldShare + seen.usual;
-            return doubtful || slow || suspect_since >= 0 ? Verdict::hold : Verdict::none;
+        return exceeds(evidence.all, kMinRollBackPicks, kRollBackFailureShare) ||
+               std::any_of(evidence.by_method.begin(), evidence.by_method.end(),
+                           [&](const PickCounts &count) {
+                               return exceeds(count, kMinMethodPicks, kMethodFailureShare);
+                           });
+    }
+
+    // Platform stats count picks that full hosts turned away as failures, and a router of a large fleet has
+    // too few of those to know how many. A good build must not be rolled back because its first, cold hosts
+    // are full. So a share of the reported failures counts only where this router's own failures confirm
+    // them; a bad build is found once one router has had them. This does not apply where several routers must
+    // agree, since each of them would have to have some.
+    bool confirmed_by_own_failures(const Evidence &own) const {
+        const bool one_decides = config.rollout.advance_policy == AdvancePolicy::any_vote;
+        return platform_stats.empty() || !is_large_fleet() || !one_decides ||
+               own.all.failed >= kMinOwnFailures;
+    }
+
+    // Returns whether all picks are slower than when the trial began, by more than the growth of traffic or
+    // the loss of healthy hosts explains. Such a build slows or congests all hosts and may show no harm at
+    // its own. Some hosts are slow for reasons of their own, so the limit is high, above what the first stage
+    // had, and applies while the trial carries much of the traffic.
+    bool slows_all_hosts(const Evidence &fleet) {
+        if (trial_running() && rollout_state.stage == 0) first_stage_rise = std::max(0.0, fleet.latency_rise);
+        // A router that started during the trial has no baseline.
+        const double baseline_weight = baseline_figures.healthy_weight > 0 ? baseline_figures.healthy_weight
+                                                                           : current_figures.healthy_weight;
+        const double load =
+            fleet.traffic_growth * baseline_weight / std::max(1e-9, current_figures.healthy_weight);
+        const double explained = kLatencyLoadExponent * std::max(0.0, std::log(load)) +
+                                 kLatencyFailureFactor * earlier_failure_share;
+        const double limit = std::log(kFleetSlowdown) + explained;
+        const bool carries_much =
+            trial_running() && (rollout_state.stage >= kFleetSlowdownStage || in_last_stage());
+        const bool has_baseline = !platform_stats.empty() || fleet.with_baseline * 2 > config.instances;
+        const bool applicable = is_large_fleet() && (recently_released() || carries_much) && has_baseline &&
+                                !baseline_figures.limit_active;
+        has_lasted(applicable && fleet.latency_rise - first_stage_rise > limit * kFleetSlowdownDoubt,
+                   slowing_suspected_since, kSlowdownDuration);
+        return has_lasted(applicable && fleet.latency_rise - first_stage_rise > limit, slowing_all_since,
+                          kSlowdownDuration);
+    }
+
+    Verdict judge_build() {
+        const Evidence own = own_evidence(build_state(rollout_state.build));
+        const Evidence fleet = fleet_evidence();
+        const double flag_odds = flag_log_odds(fleet);
+        if (flag_odds > kFlagRollBackLogOdds + std::log(config.instances))
+            return vote_roll_back("flags", own, flag_odds);
+        const bool pooled =
+            !platform_stats.empty() || (fleet.routers > 1 && fleet.routers * 2 > config.instances);
+        const bool enough = trial_running() && pooled && fleet.earlier.picks >= kMinRollBackPicks;
+        const bool own_failing = fails_too_often(own) && !strikes_few_hosts(own);
+        const double turned_away_share = confirmed_by_own_failures(own) ? 0 : kTurnedAwayShare;
+        const bool failing = own_failing || (enough && fails_too_often(fleet, 1, turned_away_share));
+        if (trial_running() && is_large_fleet()) fleet_trial_counts = fleet.by_method;
+        // A single method is compared with the earlier builds and with the trial's other methods, since
+        // trouble of a host strikes all methods. This finds a build that fails a rare method before that
+        // method has a sufficient sample of its own.
+        const auto odds_of = [](auto &evidence) {
+            return evidence.method_log_odds(kFailingMethodShare, kMethodFailureFloor, kPriorPicks);
+        };
+        const double own_odds = odds_of(own) - std::log(config.instances);
+        const double fleet_odds = odds_of(fleet);
+        if (trial_running() && is_large_fleet() &&
+            std::max(own_odds, pooled ? fleet_odds : 0) > kMethodRollBackLogOdds)
+            return vote_roll_back("one method", own_odds > fleet_odds ? own : fleet,
+                                  std::max(own_odds, fleet_odds));
+        // The failures of a trial on a single host may be the host's. The trial waits and then advances,
+        // since more hosts tell more.
+        const bool single_host = trial_running() && pools[1].hosts.size() == 1;
+        const bool waited = now - stage_began_at > kSingleHostWait;
+        if (single_host && waited && config.rollout.advance_policy != AdvancePolicy::timer)
+            return Verdict::advance;
+        // Failures that concentrate on a few hosts come from those hosts or their neighbours, not the build.
+        const bool concentrated = own.by_host.size() > 1 &&
+                                  own.failures_on_worst_third() > kConcentratedFailureShare * own.all.failed;
+        if (failing && !single_host && !concentrated)
+            return vote_roll_back("failures", own_failing ? own : fleet, own.baseline_failure_share);
+        const double random_trouble = trial_running() ? random_trouble_probability() : 1;
+        // Some router of a large fleet meets what is unlikely for one, so the limit falls with the fleet.
+        const double trials = std::max(std::sqrt(config.instances), 1.0 * config.instances / kSmallFleet);
+        if (has_lasted(random_trouble < kRandomTroubleProbability / trials, hosts_failing_since,
+                       kSlowdownDuration))
+            return vote_roll_back("old hosts", own, random_trouble);
+        if (slows_all_hosts(fleet)) return vote_roll_back("slowing all", fleet, fleet.latency_rise);
+        if (watching_release()) return Verdict::none;
+        const bool slow = own.slowdown > own.slowdown_limit;
+        const bool fleet_slow = enough && fleet.slowdown > fleet.slowdown_limit;
+        if (has_lasted(slow, slow_since, kSlowdownDuration) && !single_host)
+            return vote_roll_back("latency", own, std::exp(own.slowdown));
+        if (fleet_slow && !single_host)
+            return vote_roll_back("tallied latency", fleet, std::exp(fleet.slowdown));
+        if (config.rollout.advance_policy == AdvancePolicy::timer) {
+            const bool doubtful = own.all.picks >= kMinHoldPicks &&
+                                  own.all.failure_share() > kHoldFailureShare + own.baseline_failure_share;
+            return doubtful || slow || slowing_suspected_since >= 0 ? Verdict::hold : Verdict::none;
         }
-        // A trial that others must spare load is not proven for more: slow builds, and those bad when busy.
-        if (failing || slow || suspect_since >= 0 || yielding > kYieldMost) return Verdict::none;
-        // The last vote on takes the earlier hosts away: not while the trial's are cold, or they are swamped.
+        // A trial that has to leave load to the earlier hosts is not proven for more of it: it may be slow,
+        // or fail under load.
+        if (failing || slow || slowing_suspected_since >= 0 || yield_share > kMaxYieldShare)
+            return Verdict::none;
+        // The last vote to advance takes the earlier hosts away. It waits while the trial's hosts are cold,
+        // or they would be overloaded.
         const bool last = in_last_stage();
-        const auto cold = [&](int i) { return warmth(hosts[i]) < kWarmEnough; };
+        const auto cold = [&](int i) { return warm_up_share(hosts[i]) < kReleaseWarmUp; };
         if (last && std::any_of(pools[1].hosts.begin(), pools[1].hosts.end(), cold)) return Verdict::none;
-        // Nor on the word of a few routers, each of which saw little, where the figures of all lack or are in
-        // doubt: the fewer of them must agree, the more these must hold.
-        const double needed = alone() * (last ? kReleasePicks : known.stage > 0 ? kOnPooled : 0);
-        const bool doubt =
-            blind < kBlindDoubt || (enough && told.slow > told.slow_bar * kSlowDoubt) ||
-            (many() && pooled && !waited && (odds_all > kMethodDoubt || fails_much(told, kFailDoubt)));
-        if (doubt || (told.all.picks < needed && !waited)) return Verdict::none;
-        const double borne = kOnDivergences + (seen.usual + kOnShare) * seen.all.picks;
-        if (seen.all.failed > borne) return Verdict::none;
-        if (seen.stage.picks >= kOnPairs) return Verdict::advance;
-        return seen.stage.failed <= 0 && now - stage_at >= kOnAnyway ? Verdict::advance : Verdict::none;
-    }
-
-    Verdict back(const std::string &cause, const Evidence &seen, double figure) {
-        const PickCounts &all = seen.all;
-        if (voted != Verdict::roll_back)
-            log("back for " + cause + ": %.0f of %.0f, %.2f", all.failed, all.picks, figure);
+        // A few routers, each of which saw little, do not advance the trial where the figures of all routers
+        // are missing or in doubt. The fewer routers must agree, the more picks of all are needed.
+        const double needed = single_vote_weight() * (last                      ? kMinReleasePicks
+                                                      : rollout_state.stage > 0 ? kMinAdvancePooledPicks
+                                                                                : 0);
+        const bool doubt = random_trouble < kRandomTroubleDoubt ||
+                           (enough && fleet.slowdown > fleet.slowdown_limit * kSlowdownDoubt) ||
+                           (is_large_fleet() && pooled && !waited &&
+                            (fleet_odds > kMethodDoubtLogOdds || fails_too_often(fleet, kFailureDoubt)));
+        if (doubt || (fleet.all.picks < needed && !waited)) return Verdict::none;
+        const double allowed =
+            kAdvanceFailures + (own.baseline_failure_share + kAdvanceFailureShare) * own.all.picks;
+        if (own.all.failed > allowed) return Verdict::none;
+        if (own.stage.picks >= kMinAdvancePicks) return Verdict::advance;
+        return own.stage.failed <= 0 && now - stage_began_at >= kAdvanceAfter ? Verdict::advance
+                                                                              : Verdict::none;
+    }
+
+    Verdict vote_roll_back(const std::string &cause, const Evidence &evidence, double figure) {
+        const PickCounts &all = evidence.all;
+        if (last_vote != Verdict::roll_back)
+            add_log_line("vote to roll back for " + cause + ": %.0f of %.0f picks failed, figure %.2f",
+                         all.failed, all.picks, figure);
         return Verdict::roll_back;
     }
 
     bool in_last_stage() const {
-        return known.stage + 1 >= static_cast<int>(terms.rollout.stage_shares.size());
+        return rollout_state.stage + 1 >= static_cast<int>(config.rollout.stage_shares.size());
     }
-    // How far the word of one goes for all: 0 where all must agree.
-    double alone() const {
-        return 1 - std::min(1.0, double(terms.rollout.votes_to_advance) / terms.instances);
+    // Returns how far a single vote decides for all: 0 where all routers must agree.
+    double single_vote_weight() const {
+        return 1 - std::min(1.0, double(config.rollout.votes_to_advance) / config.instances);
     }
 
-    // Stops a build that turns bad with its hosts' age or load from being released by the one router that saw
-    // it clean for a moment, while the others hold: where one vote does it, it is cast once it has lasted.
-    Verdict once_proven(Verdict judged) {
-        const Ticks span = static_cast<Ticks>(kProvenFor * alone()) - 1;
-        const bool proven = lasts(judged == Verdict::advance, proven_since, span);
-        return judged == Verdict::advance && in_last_stage() && !proven ? Verdict::none : judged;
+    // Delays the vote that releases the build until it has been due for some time, where one vote suffices.
+    // Otherwise a build that fails with the age or load of its hosts could be released by the one router to
+    // which it seemed good for a moment, while the others hold.
+    Verdict delay_release_vote(Verdict verdict) {
+        const Ticks delay = static_cast<Ticks>(kReleaseVoteDelay * single_vote_weight()) - 1;
+        const bool proven = has_lasted(verdict == Verdict::advance, release_vote_since, delay);
+        return verdict == Verdict::advance && in_last_stage() && !proven ? Verdict::none : verdict;
     }
 
-    // The platform takes so many votes a second of all routers together. Stops a fleet from using them up for
-    // votes that stand already or are tried again at once, before votes back and the first of others.
-    Ticks vote_again_at() const {
-        const double rate = terms.rollout.votes_per_s;
-        const double turn = rate > 0 ? terms.instances / rate * 10000 : 0; // until each has had one
+    // Returns when the vote may be sent again. The platform accepts a limited rate of votes from all routers
+    // together. A fleet must not use it up for votes that are counted already, or that are sent again at
+    // once, before votes to roll back and the first votes of other routers.
+    Ticks next_vote_at() const {
+        const double rate = config.rollout.votes_per_s;
+        const double turn =
+            rate > 0 ? config.instances / rate * 10000 : 0; // until each router has voted once
         const bool scarce = turn > kVoteRenewal;
-        const Ticks life = terms.rollout.vote_lifetime;
-        const Ticks stands = scarce ? life * 9 / 10 : std::min(kVoteRenewal, life * 2 / 3);
-        if (vote_counts) return voted_at + stands;
-        const double pause = voted == Verdict::roll_back ? 0 : turn * kVoteTries * vote_draw;
+        const Ticks lifetime = config.rollout.vote_lifetime;
+        const Ticks renewal = scarce ? lifetime * 9 / 10 : std::min(kVoteRenewal, lifetime * 2 / 3);
+        if (vote_counted) return voted_at + renewal;
+        const double pause = last_vote == Verdict::roll_back ? 0 : turn * kVoteRetryTurns * vote_spread;
         return voted_at + std::max<Ticks>(kVoteRetry, static_cast<Ticks>(pause));
     }
 
-    Decision vote() {
-        if (!(trial_runs() || watching()) || now < judge_at) return {};
-        judge_at = now + kBeat;
-        // A vote back stands for its time: one that wavers with the last few samples may never be counted.
-        const bool stands_back = voted == Verdict::roll_back && now < voted_at + kVoteRenewal;
-        const Verdict verdict = stands_back ? voted : once_proven(judgement());
-        if (verdict == Verdict::none && voted == Verdict::none) return {};
-        if (verdict == voted && now < vote_again_at()) return {};
-        voted = verdict;
+    Decision cast_vote() {
+        if (!(trial_running() || watching_release()) || now < next_judgement_at) return {};
+        next_judgement_at = now + kUpdateInterval;
+        // A vote to roll back is kept for a time. If it changed with the last few samples, it might never be
+        // counted.
+        const bool keeps_roll_back = last_vote == Verdict::roll_back && now < voted_at + kVoteRenewal;
+        const Verdict verdict = keeps_roll_back ? last_vote : delay_release_vote(judge_build());
+        if (verdict == Verdict::none && last_vote == Verdict::none) return {};
+        if (verdict == last_vote && now < next_vote_at()) return {};
+        last_vote = verdict;
         voted_at = now;
-        vote_draw = 0.5 + rng.uniform();
-        vote_counts = false;
-        return {.action = Action::vote, .build = known.build, .stage = known.stage, .verdict = verdict};
+        vote_spread = 0.5 + rng.uniform();
+        vote_counted = false;
+        return {.action = Action::vote,
+                .build = rollout_state.build,
+                .stage = rollout_state.stage,
+                .verdict = verdict};
     }
 
-    // Discovery works through the calls of all routers one at a time, also those that have been given up. The
-    // more routers, the wider each spreads its calls. Stops a fleet that starts in one instant from keeping
-    // that line full for itself, and the news of standing watches behind it.
-    Ticks ask_span() const { return std::min(kAskSpread, kAskEach * terms.instances); }
+    // Discovery works through the requests of all routers one at a time, abandoned ones included. The more
+    // routers there are, the wider each spreads its requests. Otherwise a fleet that starts at one instant
+    // would fill discovery's queue, and updates of open watches would wait behind it.
+    Ticks list_request_spread() const {
+        return std::min(kMaxListRequestSpread, kListRequestSpacing * config.instances);
+    }
 
-    // After a first failure the next call leaves in time to renew the lease. Later ones are spread as widely
-    // as the line needs, and ever wider: a crowded discovery works through calls that nobody waits for any
-    // more, and a fleet that goes on asking keeps it so. Costs routers without a list some seconds more.
+    // After a first failure the next request leaves in time to renew the lease. Later ones are spread as
+    // widely as discovery's queue needs, and ever wider: an overloaded discovery works through requests that
+    // nobody waits for any more, and a fleet that keeps sending them prolongs the overload. Routers without a
+    // list wait some seconds longer for it.
     void host_list_failed(Ticks lease_left) override {
-        const int repeated = failed_calls++;
-        const Ticks in_time = lease_left - kCallTakes;
-        if (repeated == 0 && in_time > kAskAgain) {
-            const Ticks span = std::min(ask_span(), in_time - kAskAgain);
-            ask_at = now + kAskAgain + static_cast<Ticks>(static_cast<double>(span) * rng.uniform());
+        const int earlier_failures = failed_list_requests++;
+        const Ticks latest_wait = lease_left - kListRequestTimeout;
+        if (earlier_failures == 0 && latest_wait > kListRetryWait) {
+            const Ticks spread = std::min(list_request_spread(), latest_wait - kListRetryWait);
+            list_request_at =
+                now + kListRetryWait + static_cast<Ticks>(static_cast<double>(spread) * rng.uniform());
             return;
         }
-        const double growth = std::min(kAskGrowthMost, std::pow(kAskGrowth, std::max(0, repeated - 1)));
-        const double least = growth * static_cast<double>(std::max(kAskAgain, ask_span()));
-        ask_at = now + static_cast<Ticks>(least + static_cast<double>(ask_span()) * rng.uniform());
+        const double growth =
+            std::min(kMaxListRetryGrowth, std::pow(kListRetryGrowth, std::max(0, earlier_failures - 1)));
+        const double least = growth * static_cast<double>(std::max(kListRetryWait, list_request_spread()));
+        list_request_at =
+            now + static_cast<Ticks>(least + static_cast<double>(list_request_spread()) * rng.uniform());
     }
 
     Decision next_decision() override {
         weigh_hosts();
-        budget = std::min(kBudgetMost, budget + kBudgetShare * std::exchange(earned, 0));
-        for (; !todo.empty(); todo.pop_front()) {
-            const auto found = rpcs.find(todo.front());
+        retry_budget =
+            std::min(kMaxRetryBudget, retry_budget + kRetryBudgetShare * std::exchange(rpcs_since_refill, 0));
+        for (; !rpc_queue.empty(); rpc_queue.pop_front()) {
+            const auto found = rpcs.find(rpc_queue.front());
             if (found == rpcs.end()) continue;
             Rpc &rpc = found->second;
-            if (Decision made = advance(rpc); made.action != Action::none) return made;
+            if (Decision decision = process(rpc); decision.action != Action::none) return decision;
             rpc.queued = false;
-            if (rpc.done && open_picks(rpc) == 0) rpcs.erase(found);
+            if (rpc.done && count_open_picks(rpc) == 0) rpcs.erase(found);
         }
-        if (Decision made = vote(); made.action != Action::none) return made;
-        if (Decision made = tell(); made.action != Action::none) return made;
-        if (terms.requests_host_list && ask_at >= 0 && ask_at <= now) {
-            ask_at = -1;
+        if (Decision decision = cast_vote(); decision.action != Action::none) return decision;
+        if (Decision decision = send_summary(); decision.action != Action::none) return decision;
+        if (config.requests_host_list && list_request_at >= 0 && list_request_at <= now) {
+            list_request_at = -1;
             return {.action = Action::request_host_list};
         }
-        if (!lines.empty()) {
-            Decision made{.action = Action::log, .text = std::move(lines.front())};
-            lines.pop_front();
-            return made;
+        if (!log_lines.empty()) {
+            Decision decision{.action = Action::log, .text = std::move(log_lines.front())};
+            log_lines.pop_front();
+            return decision;
         }
-        const Ticks wanted = std::max(now + 1, due.empty() ? beat_at : std::min(beat_at, due.top().first));
-        if (armed >= 0 && armed <= wanted) return {};
-        armed = wanted;
-        return {.action = Action::wake, .duration = armed};
+        const Ticks wanted =
+            std::max(now + 1, timers.empty() ? next_update_at : std::min(next_update_at, timers.top().first));
+        if (wake_at >= 0 && wake_at <= wanted) return {};
+        wake_at = wanted;
+        return {.action = Action::wake, .duration = wake_at};
     }
 };
 } // namespace
 
-std::unique_ptr<Router> make_router(DeploymentConfig terms, std::uint64_t seed) {
-    return std::make_unique<Decider>(std::move(terms), seed);
+std::unique_ptr<Router> make_router(DeploymentConfig config, std::uint64_t seed) {
+    return std::make_unique<Decider>(std::move(config), seed);
 }
 } // namespace pineridge
--- a/tests/owed_test.cpp
+++ b/tests/owed_test.cpp
@@ -520,7 +520,7 @@
         if (goes_back) {
             const json row{{"type", "stage"}, {"object", news_of(2, "Aborting", 0)}};
             town.platform.say(chunk(row.dump()));
-            town.until([&] { return town.has_logged("news: build 2 stage 1 phase 1"); });
+            town.until([&] { return town.has_logged("rollout: build 2 stage 1 phase 1"); });
         }
         door.open();
         town.until([&] { return door.taken > 0 && door.hanging() == 0; });
