--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -5,8 +5,9 @@
 // carry out each decision in that order. Action::wake asks for a set_time() call at a later time. One Router
 // is one instance, which shares nothing with others and is not safe for concurrent use.
 //
-// Unless stated otherwise, smoothing constants are the weight of the newest value in a moving average, shares
-// are in [0, 1], costs are factors on the cost of a host, and slowdowns are ratios of latencies.
+// 10000 Ticks are one second. Unless stated otherwise, smoothing constants are the weight of the newest value
+// in a moving average, shares are in [0, 1], costs are factors on the cost of a host, and slowdowns are
+// ratios of latencies.
 #include "logic.hpp"
 #include "state.hpp"
 #include <algorithm>
@@ -25,8 +26,7 @@
 constexpr int kMinMethodPicks = 6; // of one method
 constexpr double kRollBackFailureShare = 0.20; // above the baseline, over all methods
 constexpr double kMethodFailureShare = 0.35; // above the baseline, of one method
-constexpr double kConcentratedFailureShare =
-    0.8; // on a third of the hosts: these are at fault, not the build
+constexpr double kConcentratedFailureShare = 0.8; // on a third of the hosts, which are then at fault
 constexpr double kMinHostOutcomes = 2; // decayed count from which a host's figures are meaningful
 constexpr double kRandomTroubleProbability = 0.02; // below it, trouble at the oldest hosts is not random
 constexpr double kRandomTroubleDoubt = 0.1; // below it, whether that trouble is random is in doubt
@@ -40,9 +40,8 @@
 constexpr double kFailingMethodShare = 0.5; // failure share of a method that is tested for
 constexpr double kPriorPicks = 10; // picks that the prior of a method's failure share counts for
 constexpr double kMethodFailureFloor = 0.02; // failure share of any method that may be chance
-constexpr double kMethodRollBackLogOdds = 6;
-constexpr double kUncomparedFailureShare =
-    0.25; // that failing hosts may cause where no earlier pick compares
+constexpr double kMethodRollBackLogOdds = 6; // that the build fails one method
+constexpr double kUncomparedFailureShare = 0.25; // that hosts may cause where no earlier pick compares
 constexpr double kLatencyDeviation = 3; // over the root of the sample size: what chance adds to a log latency
 constexpr double kFleetSlowdown = 2.3; // of all picks since the trial began
 constexpr int kFleetSlowdownStage = 2; // from this stage on the trial carries enough to slow the fleet
@@ -71,21 +70,19 @@
 constexpr Ticks kAdvanceAfter = 30000; // in a stage; a router without failures then needs no full sample
 constexpr double kFailureDoubt = 0.5; // part of the failure limit from which no vote advances
 constexpr double kMethodDoubtLogOdds = 1; // from which no vote advances
-constexpr double kSlowdownDoubt =
-    0.75; // part of the log limit on the trial's slowdown from which none advances
-constexpr double kFleetSlowdownDoubt = 0.5; // the same for the slowdown of all picks
+constexpr double kSlowdownDoubt = 0.75; // part of the limit on the log slowdown from which no vote advances
+constexpr double kFleetSlowdownDoubt = 0.5; // the same part for the slowdown of all picks
 constexpr double kMinorityShare = 0.6; // largest share of the capacity at which earlier hosts are comparable
 constexpr double kMaxYieldShare = 0.35; // of the RPCs drawn for the trial, for a vote to advance
 constexpr double kReleaseWarmUp = 0.75; // that each host must have reached for the last vote
-constexpr Ticks kReleaseVoteDelay =
-    10000; // the last vote must have been due for so long, as doubts may follow
-constexpr Ticks kReleaseWatch = 100000; // a release is watched for so long
+constexpr Ticks kReleaseVoteDelay = 10000; // for which the last vote must have been due, as doubts may follow
+constexpr Ticks kReleaseWatch = 100000; // after a release, for which it is still judged
 
 // Sending of votes and summaries.
 constexpr Ticks kVoteRenewal = 40000; // until a counted vote is sent again
 constexpr Ticks kVoteRetry = 3000; // until a vote that was not counted is sent again
 constexpr double kVoteRetryTurns = 0.5; // of the time in which each router can vote once, between retries
-constexpr Ticks kSummaryRound = 10000; // in which each router sends one summary
+constexpr Ticks kSummaryRound = 10000; // in which each router sends its summary to the collectors
 constexpr int kSummaryCollectors = 2; // peers that add up the summaries of a round, as one may be down
 
 // --- Constants of routing, host health and pushback ---
@@ -105,8 +102,7 @@
 
 // Health and load of hosts.
 constexpr double kHostSmoothing = 0.1; // of a host's figures, by pick
-constexpr double kSideLoadSmoothing =
-    0.05; // by update; low, so that one pick at a single host decides nothing
+constexpr double kSideLoadSmoothing = 0.05; // by update; low, as one pick at a single host must not decide
 constexpr double kPeerLoadSmoothing = 0.3; // by update
 constexpr double kConnectionLossLimit = 0.05; // share of earlier picks above which the network is at fault
 constexpr double kConnectionLossSmoothing = 0.004; // by pick
@@ -145,8 +141,7 @@
 constexpr double kSpareWait = 0.4; // expected wait, in soft deadlines, up to which further picks are sent
 constexpr double kHighLateness = 0.55; // latency in soft deadlines above which the open-pick limit falls
 constexpr double kLowLateness = 0.4; // latency in soft deadlines below which the open-pick limit rises
-constexpr double kMinOpenPickLimit =
-    0.6; // below one: in a large fleet even one pick may be sent by chance only
+constexpr double kMinOpenPickLimit = 0.6; // in a large fleet; below one, a pick is sent by chance
 constexpr double kLimitDecrease = 0.92; // factor by update
 constexpr double kLimitIncrease = 1.04; // factor by update
 constexpr double kOpenPickShare = 0.5; // of max_open_picks, for first picks
@@ -167,6 +162,7 @@
 constexpr double kListRetryGrowth = 1.5; // factor on the wait, from the third failure on
 constexpr double kMaxListRetryGrowth = 4; // largest product of these factors
 
+// Takes the decisions of one router instance.
 class Decider final : public Instance {
   public:
     Decider(DeploymentConfig given, std::uint64_t seed) : Instance(std::move(given), seed) {
@@ -174,6 +170,8 @@
     }
 
     bool is_large_fleet() const { return config.instances > kSmallFleet; }
+
+    // Brings the weights of the hosts and the pools up to date.
     void weigh_hosts() {
         if (!pools_outdated) return;
         healthy_weight[0] = healthy_weight[1] = 0;
@@ -204,14 +202,17 @@
         return condition && now - since > duration;
     }
 
+    // Returns the RPC's work relative to the mean, as far as its hint is trusted.
     double bounded_work(const Rpc &rpc) const {
         return std::clamp(rpc.relative_work, 1 / kMaxRelativeWork, kMaxRelativeWork);
     }
+    // Returns the method's usual latency in ticks, or an estimate until there have been answers.
     double baseline_latency(int method) const {
         return baseline_count[method] > 0 ? std::exp(baseline_log_latency[method])
                                           : kMinRerouteShare * config.methods[method].soft_deadline;
     }
 
+    // Enqueues the RPCs whose timers have expired and, once per interval, updates all moving figures.
     void set_time(Ticks at) override {
         now = std::max(now, at);
         for (; !timers.empty() && timers.top().first <= now; timers.pop())
@@ -292,6 +293,7 @@
         return is_failure(pick.outcome) && !by_congestion && !by_network && !had_short_deadline(rpc, pick);
     }
 
+    // Updates the figures of the host, the method and the build with a pick that has ended.
     void record_outcome(const Rpc &rpc, const Pick &pick) {
         Host &host = hosts[pick.host];
         const int method = rpc.arrival.method;
@@ -344,6 +346,7 @@
             add_sample(rpc, pick, failed && pick.outcome != Outcome::timed_out, excess);
     }
 
+    // Adds a pick to the evidence on its build.
     void add_sample(const Rpc &rpc, const Pick &pick, bool failed, double excess) {
         // A cold host is slow with any build, and in a large fleet some router's pick times out now and then
         // with any build.
@@ -402,6 +405,7 @@
                });
     }
 
+    // Returns whether the client may send the RPC again, as a pushback invites it to.
     bool may_push_back(const Rpc &rpc) const {
         const Method &method = method_of(rpc);
         if (method.repeat_policy == RepeatPolicy::idempotent) return true;
@@ -472,6 +476,7 @@
                (!trial || has_trial_room(host.entry.build, rpc.arrival.method));
     }
 
+    // Returns whether the host has open picks and has not answered for several usual latencies.
     bool is_silent(const Host &host, int method) const {
         return host.open_picks > 0 && now - host.silent_since > kSilenceLatencies * baseline_latency(method);
     }
@@ -607,6 +612,7 @@
         return config.rollout.sticky_keys ? build.key_ranges[method] : share;
     }
 
+    // Records a pick at the host and returns the decision to send it.
     Decision send_pick(Rpc &rpc, int target, bool copy) {
         Host &host = hosts[target];
         const bool trial = on_trial(host.entry.build);
@@ -631,6 +637,7 @@
         return {.action = Action::pick, .rpc = rpc.arrival.id, .host = host.entry.id, .duration = timeout};
     }
 
+    // Returns the time after which a pick of the method may be tried at another host.
     Ticks reroute_delay(int method) const {
         const double soft_deadline = config.methods[method].soft_deadline;
         return std::clamp<double>(baseline_latency(method) * kRerouteLatencies,
@@ -657,6 +664,7 @@
         return part * (rpc.over_quota ? kOverQuotaShare : 1);
     }
 
+    // Returns whether the open picks have reached this part of the bound for first picks.
     bool is_full(double part) const {
         return total_open_picks >= kOpenPickShare * config.max_open_picks * part;
     }
@@ -695,6 +703,7 @@
         return config.utility_per_work ? utility : utility / baseline_latency(static_cast<int>(method));
     }
 
+    // Returns the next decision on the RPC; Action::none if it has to wait.
     Decision process(Rpc &rpc) {
         if (rpc.done) return cancel_open_picks(rpc);
         if (now >= rpc.arrival.deadline) return reject(rpc, false);
@@ -718,6 +727,7 @@
         return reject(rpc, true);
     }
 
+    // Decides between the trial, the earlier hosts and pushback, and whether to copy the RPC to the trial.
     Decision first_pick(Rpc &rpc) {
         const Method &method = method_of(rpc);
         const bool drawn = trial_running() && rpc.trial_position < trial_share(rpc.arrival.method);
@@ -797,6 +807,7 @@
 
     // --- Votes ---
 
+    // Returns the evidence from this router's own picks.
     Evidence own_evidence(const Build &build) const {
         Evidence own =
             collect_own_evidence(build, now - kEvidenceLifetime, now - kEvidenceLifetime / 2,
@@ -811,6 +822,7 @@
         return own;
     }
 
+    // Returns the limit on the log slowdown of a trial on so many hosts.
     double slowdown_limit(double timed_hosts) const {
         return std::log(kTrialSlowdown * (config.rollout.key_affinity ? kColdKeySlowdown : 1) *
                         (1 + kFewHostsSlowdown / timed_hosts));
@@ -842,6 +854,8 @@
         return pool_summaries(now - 5 * kSummaryRound / 2, own_summary(now - kEvidenceLifetime));
     }
 
+    // Returns the next summary to send: in each round one sum if this router is a collector, and one summary
+    // to each collector.
     Decision send_summary() {
         if (!config.exchanges_summaries || config.ordinal < 0 || !(trial_running() || recently_released()))
             return {};
@@ -976,6 +990,8 @@
                           kSlowdownDuration);
     }
 
+    // Returns the verdict on the build by the present evidence. The checks for a roll-back come first, those
+    // that must hold for an advance after them.
     Verdict judge_build() {
         const Evidence own = own_evidence(build_state(rollout_state.build));
         const Evidence fleet = fleet_evidence();
@@ -1058,6 +1074,7 @@
                                                                               : Verdict::none;
     }
 
+    // Logs the cause of a vote to roll back, unless that is the vote already.
     Verdict vote_roll_back(const std::string &cause, const Evidence &evidence, double figure) {
         const PickCounts &all = evidence.all;
         if (last_vote != Verdict::roll_back)
@@ -1098,6 +1115,7 @@
         return voted_at + std::max<Ticks>(kVoteRetry, static_cast<Ticks>(pause));
     }
 
+    // Judges the build once per interval and returns a vote that is new or has to be sent again.
     Decision cast_vote() {
         if (!(trial_running() || watching_release()) || now < next_judgement_at) return {};
         next_judgement_at = now + kUpdateInterval;
@@ -1124,10 +1142,10 @@
         return std::min(kMaxListRequestSpread, kListRequestSpacing * config.instances);
     }
 
-    // After a first failure the next request leaves in time to renew the lease. Later ones are spread as
-    // widely as discovery's queue needs, and ever wider: an overloaded discovery works through requests that
-    // nobody waits for any more, and a fleet that keeps sending them prolongs the overload. Routers without a
-    // list wait some seconds longer for it.
+    // Schedules the next request. After a first failure it leaves in time to renew the lease. Later ones are
+    // spread as widely as discovery's queue needs, and ever wider: an overloaded discovery works through
+    // requests that nobody waits for any more, and a fleet that keeps sending them prolongs the overload.
+    // Routers without a list wait some seconds longer for it.
     void host_list_failed(Ticks lease_left) override {
         const int earlier_failures = failed_list_requests++;
         const Ticks latest_wait = lease_left - kListRequestTimeout;
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -24,13 +24,13 @@
 // How a pick ended.
 enum class Outcome {
     ok,
-    error, // the host answered with an error
+    error, // the host answered with an error, or its answer was malformed
     host_busy, // the host refused the RPC because it is at capacity
     timed_out,
     connect_failed,
     connection_lost, // after the RPC was sent
     cancelled, // by this router, after the RPC was sent
-    not_sent, // withdrawn before it was sent, or refused because the host entry was out of date
+    not_sent, // not executed: withdrawn before it was sent, or the host list was out of date
 };
 
 // Phase of the rollout of a build.
@@ -55,9 +55,9 @@
 struct Method {
     RepeatPolicy repeat_policy;
     TokenScope token_scope; // hosts that recognise a token of one another
-    Ticks soft_deadline; // latency up to which an answer has its full utility
-    Ticks token_window; // time after the first pick during which hosts recognise a token
-    double utility; // of an answer within the soft deadline
+    Ticks soft_deadline; // latency that answers should not exceed
+    Ticks token_window; // time after a pick during which hosts recognise its token
+    double utility; // value of an answer; see DeploymentConfig::utility_per_work
     bool streams_answer;
 };
 
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -32,6 +32,7 @@
     return scope == TokenScope::all || (scope == TokenScope::zone ? a.zone == b.zone : a.cell == b.cell);
 }
 
+// One attempt to have an RPC served by a host.
 struct Pick {
     int host;
     int build;
@@ -47,6 +48,7 @@
     Ticks duration = 0;
 };
 
+// An RPC from its arrival until it is done and its last pick has ended.
 struct Rpc {
     Arrival arrival;
     double trial_position; // in [0, 1), by its key or drawn; below the trial's share it belongs to the trial
@@ -60,6 +62,7 @@
     std::vector<Pick> picks{};
 };
 
+// A host, from its first appearance in the list on. Its figures start anew when its process restarts.
 struct Host {
     HostEntry entry;
     bool listed = true;
@@ -112,6 +115,7 @@
     double excess_latency;
 };
 
+// What this router knows of a build.
 struct Build {
     std::deque<Sample> samples{};
     std::vector<double> key_ranges{}; // by method: share of the keys that the build has received so far
@@ -277,7 +281,7 @@
     double open_pick_limit = 0; // 0: not limited
     double warm_pick_rate = 0; // picks per second at warm hosts, per unit of rating
     int warm_rate_samples = 0; // periodic updates that warm_pick_rate is computed from
-    double demand_rate = 0; // first tries per second without those that are retries of RPCs turned away
+    double demand_rate = 0; // first tries per second, less the RPCs turned away that presumably come again
     int turned_away = 0; // RPCs since the last update
     double side_rating = 0; // decaying maximum of the rating of the hosts of one side
     std::deque<Ticks> warm_successes; // times of answers from warm hosts within the last second
@@ -923,8 +927,8 @@
         current_figures.healthy_weight = healthy_weight[0] + healthy_weight[1];
     }
 
-    // Updates the rates per second. `retried_share` is the share of the RPCs turned away that come again
-    // without being marked as retries.
+    // Updates the rates per second. `retried_share` is the presumed share of the RPCs turned away that come
+    // again.
     void count_traffic(double smoothing, double retried_share) {
         const double seconds = static_cast<double>(std::max<Ticks>(1, now - traffic_counted_at)) / 10000;
         first_try_rate += (first_tries / seconds - first_try_rate) * smoothing;
