--- a/src/state.hpp
+++ b/src/state.hpp
@@ -298,13 +298,14 @@
     Ticks first_rpc_at = -1;
     int pending_rpcs = 0; // RPCs without a final answer
     double yield_share = 0; // share of the RPCs drawn for the trial that went to earlier hosts instead
-    Ticks slow_since =
-        -1; // this one and those below: since when the condition has held; below 0: it does not
+    // Since when a condition has held without interruption; below 0: it does not hold.
+    Ticks slow_since = -1;
     Ticks slowing_suspected_since = -1;
     Ticks hosts_failing_since = -1;
     Ticks slowing_all_since = -1;
+
     Ticks released_at = -1; // when the present build was released; below 0: not seen by this instance
-    Ticks release_vote_since = -1; // since when the vote that releases the build would be cast
+    Ticks release_vote_since = -1; // since when the vote to release the build has been due; below 0: not due
     double earlier_failure_share = 0; // recent failure share of earlier builds
     double connect_failure_rate = 0; // recent share of new connections that failed
     double connection_loss_rate = 0; // recent share of earlier builds' picks whose connection was lost
@@ -342,6 +343,7 @@
     bool usable_earlier(const Host &host) const { return usable(host) && !on_trial(host.entry.build); }
     const Method &method_of(const Rpc &rpc) const { return config.methods[rpc.arrival.method]; }
 
+    // Returns the state of a build, which is created if there is none.
     Build &build_state(int number) {
         Build &build = builds[number];
         build.key_ranges.resize(config.methods.size());
@@ -350,12 +352,14 @@
         return build;
     }
 
+    // Queues a line for the log; the format takes three doubles. Longer lines are cut off.
     void add_log_line(const std::string &format, double a, double b, double c) {
         char line[120];
         std::snprintf(line, sizeof line, format.c_str(), a, b, c);
         log_lines.emplace_back(line);
     }
 
+    // Marks that the client has its answer or has left.
     void settle(Rpc &rpc) {
         pending_rpcs -= !rpc.done;
         rpc.done = true;
@@ -424,6 +428,7 @@
         }
         return periods > 0 ? picks / periods : 0;
     }
+    // Adds the stats of an earlier build to the latency when the trial began.
     void add_baseline_latency(const PlatformStats &stats) {
         if (stats.build < rollout_state.build &&
             stats.method < static_cast<int>(baseline_stats_latency.size()))
@@ -847,11 +852,13 @@
         return evidence;
     }
 
+    // Returns the excess latency of a pick, for an RPC of this relative work.
     double excess_latency_of(const Pick &pick, int method, double work) {
         return std::log(std::max<Ticks>(1, pick.duration) / work) - baseline_log_latency[method] -
                kind_excess_latency[hosts[pick.host].entry.kind];
     }
 
+    // Returns the exposure cap of a build.
     double cap(int build) const {
         return build == rollout_state.build ? rollout_state.cap : config.rollout.stage_caps.front();
     }
