--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -30,9 +30,9 @@
 
 } // namespace
 
-class Client : public std::enable_shared_from_this<Client> {
+class Connection : public std::enable_shared_from_this<Connection> {
   public:
-    Client(Clients &home, asio::ip::tcp::socket socket, bool behind_front)
+    Connection(Clients &home, asio::ip::tcp::socket socket, bool behind_front)
         : home_(home), socket_(std::move(socket)), resume_(socket_.get_executor()),
           linger_(socket_.get_executor()), session_(home.start_.limits), since_(Clock::now()),
           needs_head_(behind_front) {
@@ -45,7 +45,7 @@
         const admission::ConnectionDecision said =
             home_.door_->try_admit(guest_, number_of(from), home_.now());
         seated_ = said.admitted();
-        if (said.evicted) static_cast<Client *>(said.evicted->owner)->close();
+        if (said.evicted) static_cast<Connection *>(said.evicted->owner)->close();
         return home_.rules_->observe ? 0 : said.retry_after;
     }
 
@@ -53,7 +53,7 @@
         const auto self = shared_from_this();
         const Limits &limits = home_.start_.limits;
         while (!closed_) {
-            const bool short_of_memory = session_.owes() && home_.crammed();
+            const bool short_of_memory = session_.has_pending_replies() && home_.crammed();
             if (short_of_memory || !may_read()) {
                 resume_.expires_after(short_of_memory ? limits.crammed_pause : limits.unread_look);
                 co_await resume_.async_wait(as_tuple(use_awaitable));
@@ -71,7 +71,7 @@
     void answer(std::uint64_t place, std::string bytes) {
         if (closed_) return;
         const bool served = bytes[0] == '$' || bytes[0] == '*';
-        session_.answer(place, std::move(bytes));
+        session_.set_reply(place, std::move(bytes));
         if (std::erase_if(waiting_, [&](const auto &at) { return at.first == place; }) > 0 && seated_)
             answered_.push_back(served);
         write();
@@ -82,7 +82,7 @@
     // arrived by then is taken and answered. What comes later meets the close unread, and its client sends it
     // again elsewhere.
     void close_if_idle() {
-        if (!session_.idle() || writing_) return;
+        if (!session_.is_idle() || writing_) return;
         if (read_available() != Read::some) close();
     }
     // The same for a client that is stuck, should what has arrived meanwhile not have moved it on.
@@ -107,7 +107,7 @@
             session_.feed({room.data(), size});
             std::string answers;
             while (session_.next() == Session::Next::command)
-                answers += home_.refusal(session_.words(), back);
+                answers += home_.refusal(session_.arguments(), back);
             socket_.write_some(asio::buffer(answers), failed);
         }
         closed_ = true;
@@ -121,15 +121,15 @@
         };
         const Span quiet = std::chrono::floor<Span>(now - since_);
         if (writing_) return quiet > told(&Entrance::unread, limits.unread_answers);
-        if (session_.owes()) return false;
-        if (session_.half_read() || needs_head_)
+        if (session_.has_pending_replies()) return false;
+        if (session_.has_partial_command() || needs_head_)
             return std::chrono::floor<Span>(now -
                                             (half_since_ == Clock::time_point{} ? since_ : half_since_)) >
                    told(&Entrance::whole_command, limits.half_command);
         return rules && !used_ && quiet > told(&Entrance::first_byte, limits.half_command);
     }
     std::size_t bytes() const { return bytes_; }
-    bool owes() const { return session_.owes(); }
+    bool owes() const { return session_.has_pending_replies(); }
 
     void close() {
         if (closed_) return;
@@ -138,7 +138,7 @@
         socket_.close(ignored);
         resume_.cancel();
         linger_.cancel();
-        for (const auto &[place, id] : std::exchange(waiting_, {})) home_.desk_.left(id);
+        for (const auto &[place, id] : std::exchange(waiting_, {})) home_.handler_.handle_client_left(id);
         if (std::exchange(seated_, false)) home_.door_->closed(guest_);
         home_.held_bytes_ -= std::exchange(bytes_, 0);
         home_.busy(*this);
@@ -148,12 +148,14 @@
     }
 
     bool counted = false; // in the ledger
-    std::optional<std::list<Client *>::iterator> resting; // its place among the idle ones
+    std::optional<std::list<Connection *>::iterator> resting; // its place among the idle ones
 
   private:
     enum class Read { nothing, some, ended };
 
-    bool may_read() const { return broken_ ? discarded_ <= home_.start_.limits.discarded : session_.reads(); }
+    bool may_read() const {
+        return broken_ ? discarded_ <= home_.start_.limits.discarded : session_.accepts_input();
+    }
 
     // Reads what the kernel holds, without waiting, and takes the commands in it. Bytes leave the kernel only
     // here and are in the session before anything else runs: an asynchronous read would complete, and a close
@@ -205,10 +207,10 @@
     // After whatever it holds more or less of.
     void weigh() {
         if (closed_) return;
-        const std::size_t now = session_.bytes() + head_.capacity();
+        const std::size_t now = session_.buffered_bytes() + head_.capacity();
         home_.held_bytes_ += now - bytes_;
         bytes_ = now;
-        if (!session_.half_read())
+        if (!session_.has_partial_command())
             half_since_ = {};
         else if (half_since_ == Clock::time_point{})
             half_since_ = Clock::now();
@@ -216,52 +218,53 @@
 
     void take_commands() {
         for (Session::Next got = session_.next(); got != Session::Next::none; got = session_.next()) {
-            if (got == Session::Next::broken) {
+            if (got == Session::Next::malformed) {
                 broken_ = true;
-                session_.answer(session_.expect(), "-ERR Protocol error\r\n");
+                session_.set_reply(session_.add_reply_slot(), "-ERR Protocol error\r\n");
                 return;
             }
             used_ = true;
-            take(session_.words());
+            take(session_.arguments());
         }
     }
 
     // Commands that had no place among those under way. One whose client has left meanwhile goes nowhere: its
     // effect would be told to nobody.
     void take_held_back() {
-        if (broken_ || closed_ || !session_.half_read()) return;
+        if (broken_ || closed_ || !session_.has_partial_command()) return;
         if (heard(socket_.native_handle()).closed) return leave();
         take_commands();
     }
 
-    void take(const std::vector<std::string_view> &words) {
-        const std::uint64_t place = session_.expect();
+    void take(const std::vector<std::string_view> &arguments) {
+        const std::uint64_t place = session_.add_reply_slot();
         if (refused_for_ > 0) {
             broken_ = true;
-            return session_.answer(place, home_.refusal(words, refused_for_));
+            return session_.set_reply(place, home_.refusal(arguments, refused_for_));
         }
-        if (words[0] == "PING") return session_.answer(place, "+PONG\r\n");
-        if (words[0] != "Q.ASK" && words[0] != "Q.DO")
-            return session_.answer(place, "-ERR unknown command\r\n");
+        if (arguments[0] == "PING") return session_.set_reply(place, "+PONG\r\n");
+        if (arguments[0] != "Q.ASK" && arguments[0] != "Q.DO")
+            return session_.set_reply(place, "-ERR unknown command\r\n");
         try {
-            const Asked asked = read_rpc(words, home_.start_.names, home_.start_.limits.word);
-            waiting_.emplace_back(place, asked.id);
+            const Request request = parse_request(arguments, home_.start_.names, home_.start_.limits.word);
+            waiting_.emplace_back(place, request.id);
             if (seated_) home_.door_->rpc_started(guest_);
             home_.last_rpc_ = Clock::now();
-            home_.desk_.rpc({shared_from_this(), place},
-                            std::make_shared<const Held>(session_.command(), asked), age_);
+            home_.handler_.handle_rpc({shared_from_this(), place},
+                                      std::make_shared<const OwnedRequest>(session_.command_bytes(), request),
+                                      age_);
         } catch (const BadInput &bad) {
             home_.log_(Level::debug, "a bad command: ", bad.what());
-            session_.answer(place, std::string("-ERR ") + bad.what() + "\r\n");
+            session_.set_reply(place, std::string("-ERR ") + bad.what() + "\r\n");
         }
     }
 
     void write() {
         if (writing_ || closed_) return;
-        const auto parts = session_.ready();
+        const auto parts = session_.ready_replies();
         if (parts.empty()) {
-            if (broken_ && !session_.owes()) return finish();
-            if (session_.idle()) home_.rest(*this);
+            if (broken_ && !session_.has_pending_replies()) return finish();
+            if (session_.is_idle()) home_.rest(*this);
             return;
         }
         writing_ = true;
@@ -273,7 +276,7 @@
                               self->writing_ = false;
                               if (failed) return self->leave();
                               if (self->closed_) return;
-                              self->session_.written();
+                              self->session_.replies_written();
                               self->since_ = Clock::now();
                               self->settle();
                               self->take_held_back();
@@ -300,7 +303,7 @@
 
     // What has been written is answered: from then on the connection may go for another.
     void settle() {
-        if (session_.owes() || closed_) return;
+        if (session_.has_pending_replies() || closed_) return;
         const auto answered = std::exchange(answered_, {});
         if (seated_)
             for (const bool served : answered) home_.door_->rpc_finished(guest_, served, home_.now());
@@ -329,16 +332,16 @@
 };
 
 Clients::Clients(asio::io_context &io, const Start &start, const Log &log,
-                 admission::DescriptorBudget &ledger, Desk &desk)
-    : io_(io), start_(start), log_(log), ledger_(ledger), desk_(desk), acceptor_(io),
+                 admission::DescriptorBudget &ledger, RequestHandler &handler)
+    : io_(io), start_(start), log_(log), ledger_(ledger), handler_(handler), acceptor_(io),
       room_to_read_(start.limits.read_step), room_(io) {
-    rules(start.entrance);
+    set_admission_rules(start.entrance);
 }
 
 Ticks Clients::now() { return std::chrono::floor<Tick>(Clock::now().time_since_epoch()).count(); }
 
 // Those that came in while there was no door have no seat; they go by the older order.
-void Clients::rules(std::shared_ptr<const Entrance> rules) {
+void Clients::set_admission_rules(std::shared_ptr<const Entrance> rules) {
     const auto before = std::exchange(rules_, std::move(rules)); // stands until the door has let go of it
     if (!rules_) {
         for (const auto &client : open_) client->unseat();
@@ -357,18 +360,18 @@
                        [&](const Network &front) { return front.holds(number); });
 }
 
-// What a connection that may not stay is answered. Asked whether this router is ready it says so: to be full
-// is not to be down. A time to come back is told where the platform allows it, and no longer.
-std::string Clients::refusal(const std::vector<std::string_view> &words, Ticks back) const {
-    if (words[0] == "PING") return "+PONG\r\n";
-    return clients::busy(allowed(start_.terms, back));
+// What a connection that may not stay is answered. Request whether this router is ready it says so: to be
+// full is not to be down. A time to come back is told where the platform allows it, and no longer.
+std::string Clients::refusal(const std::vector<std::string_view> &arguments, Ticks back) const {
+    if (arguments[0] == "PING") return "+PONG\r\n";
+    return clients::busy_reply(permitted_retry_after(start_.terms, back));
 }
 
 // What goes first where memory is short: buffers of clients that are owed nothing, the largest first. Those
-// that are owed answers are not read from meanwhile (Client::serve).
+// that are owed answers are not read from meanwhile (Connection::serve).
 void Clients::shed() {
     if (!crammed()) return;
-    std::vector<std::shared_ptr<Client>> large;
+    std::vector<std::shared_ptr<Connection>> large;
     for (const auto &client : open_)
         if (!client->owes()) large.push_back(client);
     std::sort(large.begin(), large.end(),
@@ -397,7 +400,7 @@
                 timer.expires_after(start_.limits.sweep);
                 co_await timer.async_wait(use_awaitable);
                 const auto now = Clock::now();
-                const std::vector<std::shared_ptr<Client>> open(open_.begin(), open_.end());
+                const std::vector<std::shared_ptr<Connection>> open(open_.begin(), open_.end());
                 for (const auto &client : open) client->close_if_stuck(now);
                 if (!door_) make_room(start_.limits.kept, open_.size());
                 shed();
@@ -406,8 +409,8 @@
         detached);
 }
 
-void Clients::answer(const Reply &reply, std::string bytes) {
-    reply.client->answer(reply.place, std::move(bytes));
+void Clients::answer(const ReplyTarget &reply, std::string bytes) {
+    reply.connection->answer(reply.slot, std::move(bytes));
 }
 
 void Clients::begin(asio::ip::tcp::socket socket, const asio::ip::address &from) {
@@ -415,7 +418,7 @@
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored); // reads never wait
     const bool behind_front = is_front(from);
-    const auto client = std::make_shared<Client>(*this, std::move(socket), behind_front);
+    const auto client = std::make_shared<Connection>(*this, std::move(socket), behind_front);
     if (door_ && !behind_front)
         if (const Ticks back = client->come_in(from); back > 0) return client->turn_away(back);
     open_.insert(client);
@@ -451,7 +454,7 @@
         for (std::size_t i = 0; i < limits.accepts && !full() && !none; ++i) none = !take_one(failed);
         if (failed && failed != asio::error::would_block && failed != asio::error::connection_aborted) {
             log_(Level::warning, "accept: ", failed.message(), ", clients ", open_.size());
-            desk_.crowded();
+            handler_.handle_descriptors_exhausted();
             make_room(limits.clients, limits.looked_at);
             room_.expires_after(limits.accept_pause);
             co_await room_.async_wait(as_tuple(use_awaitable));
@@ -500,11 +503,11 @@
     log_(Level::info, "door: full, clients ", open_.size(), ", closed for having given up ", given_up_);
 }
 
-void Clients::rest(Client &client) {
+void Clients::rest(Connection &client) {
     if (!client.resting) client.resting = idle_.insert(idle_.end(), &client);
 }
 
-void Clients::busy(Client &client) {
+void Clients::busy(Connection &client) {
     if (client.resting) idle_.erase(*std::exchange(client.resting, std::nullopt));
 }
 
@@ -513,9 +516,9 @@
 // that has yet to send its first command is left: it may be under way.
 void Clients::make_room(std::size_t most, std::size_t looked_at) {
     const auto now = Clock::now();
-    std::vector<std::shared_ptr<Client>> candidates; // apart: a look at one may take it off the list
+    std::vector<std::shared_ptr<Connection>> candidates; // apart: a look at one may take it off the list
     for (auto at = idle_.begin(); at != idle_.end() && looked_at-- > 0; ++at) {
-        Client &client = **at;
+        Connection &client = **at;
         if (now - client.since() < start_.limits.rested) break; // its client may be about to use it
         if (client.used()) candidates.push_back(client.shared_from_this());
     }
@@ -527,12 +530,12 @@
 
 void Clients::close_idle(std::chrono::milliseconds unused_for) {
     const auto now = Clock::now();
-    const std::vector<std::shared_ptr<Client>> open(open_.begin(), open_.end());
+    const std::vector<std::shared_ptr<Connection>> open(open_.begin(), open_.end());
     for (const auto &client : open)
         if (client->used() || now - client->since() > unused_for) client->close_if_idle();
 }
 
-void Clients::leave(std::function<void()> done) {
+void Clients::shut_down(std::function<void()> done) {
     if (std::exchange(leaving_, true)) return;
     // Those held back until their first command is there would be in no queue that the last look reaches.
     boost::system::error_code ignored;
@@ -560,7 +563,7 @@
         // told all that was taken has its answer, and gives its descriptors back; a little later is still
         // before the end.
         if (Clock::now() - began >= limits.leave_by + limits.leave_last) break;
-        desk_.crowded();
+        handler_.handle_descriptors_exhausted();
         close_idle(Span(0));
         timer.expires_after(limits.accept_pause);
         co_await timer.async_wait(use_awaitable);
--- a/src/router/clients/clients.hpp
+++ b/src/router/clients/clients.hpp
@@ -18,42 +18,42 @@
 
 namespace asio = boost::asio;
 
-class Client; // one connection
+class Connection; // one connection
 
 // Where the answer to one command belongs.
-struct Reply {
-    std::shared_ptr<Client> client;
-    std::uint64_t place = 0;
+struct ReplyTarget {
+    std::shared_ptr<Connection> connection;
+    std::uint64_t slot = 0;
 };
 
 // What clients ask for, taken by the core.
-struct Desk {
-    virtual ~Desk() = default;
+struct RequestHandler {
+    virtual ~RequestHandler() = default;
     // `age`: how long it has lain unread.
-    virtual void rpc(Reply reply, std::shared_ptr<const Held> held, Span age) = 0;
-    virtual void left(const std::string &id) = 0;
-    virtual void crowded() = 0; // no descriptor left: idle ones are to be freed
+    virtual void handle_rpc(ReplyTarget reply, std::shared_ptr<const OwnedRequest> held, Span age) = 0;
+    virtual void handle_client_left(const std::string &id) = 0;
+    virtual void handle_descriptors_exhausted() = 0; // no descriptor left: idle ones are to be freed
 };
 
 class Clients {
   public:
     // Descriptors are taken from the ledger, which outlives this.
     Clients(asio::io_context &io, const Start &start, const Log &log, admission::DescriptorBudget &ledger,
-            Desk &desk);
+            RequestHandler &handler);
 
     void listen(); // throws system_error
-    static void answer(const Reply &reply, std::string bytes);
+    static void answer(const ReplyTarget &reply, std::string bytes);
 
     // Ends service: goes on accepting while connections come, closes each between commands; then calls done.
-    void leave(std::function<void()> done);
-    std::size_t open() const { return open_.size(); }
+    void shut_down(std::function<void()> done);
+    std::size_t open_connections() const { return open_.size(); }
 
     // Other rules from now on; those without any keep the door open as it is. Owned together with the caller.
-    void rules(std::shared_ptr<const Entrance> rules);
+    void set_admission_rules(std::shared_ptr<const Entrance> rules);
     const admission::ConnectionLimiter *door() const { return door_ ? &*door_ : nullptr; }
 
   private:
-    friend class Client;
+    friend class Connection;
     asio::awaitable<void> accept();
     asio::awaitable<void> watch_leave(std::function<void()> done);
     void close_idle(std::chrono::milliseconds unused_for);
@@ -61,11 +61,11 @@
     bool take_one(boost::system::error_code &failed); // false: nothing was there to take
     Span late(int socket, std::chrono::steady_clock::time_point now);
     void note_full();
-    void rest(Client &client);
-    void busy(Client &client);
+    void rest(Connection &client);
+    void busy(Connection &client);
     void begin(asio::ip::tcp::socket socket, const asio::ip::address &from);
     bool is_front(const asio::ip::address &from) const;
-    std::string refusal(const std::vector<std::string_view> &words, Ticks back) const;
+    std::string refusal(const std::vector<std::string_view> &arguments, Ticks back) const;
     void shed();
     bool crammed() const {
         return held_bytes_ > start_.limits.memory / 4;
@@ -76,14 +76,14 @@
     const Start &start_;
     const Log &log_;
     admission::DescriptorBudget &ledger_;
-    Desk &desk_;
+    RequestHandler &handler_;
     asio::ip::tcp::acceptor acceptor_;
     std::shared_ptr<const Entrance> rules_; // none: whoever finds room comes in
     std::optional<admission::ConnectionLimiter> door_; // looks at the rules
     std::vector<char> room_to_read_; // for one read at a time, of whichever client
     std::size_t held_bytes_ = 0; // of all clients
-    std::unordered_set<std::shared_ptr<Client>> open_;
-    std::list<Client *> idle_; // of them, the one idle longest first
+    std::unordered_set<std::shared_ptr<Connection>> open_;
+    std::list<Connection *> idle_; // of them, the one idle longest first
     std::chrono::steady_clock::time_point last_rpc_{}; // when it came
     asio::steady_timer room_; // ends early when a connection has closed
     std::chrono::steady_clock::time_point late_until_{}, full_said_{};
--- a/src/router/clients/session.hpp
+++ b/src/router/clients/session.hpp
@@ -20,28 +20,28 @@
 
     // The next whole command, if there is one and room for its answer. Its words are views into its own
     // bytes, which stay until the next call.
-    enum class Next { none, command, broken };
+    enum class Next { none, command, malformed };
     Next next();
-    const std::vector<std::string_view> &words() const { return words_; }
-    std::string_view command() const { return std::string_view(unread_).substr(0, used_); }
+    const std::vector<std::string_view> &arguments() const { return arguments_; }
+    std::string_view command_bytes() const { return std::string_view(unread_).substr(0, used_); }
 
-    std::uint64_t expect() { // a place for the answer to the command just read
-        places_.emplace_back();
-        return first_ + places_.size() - 1;
+    std::uint64_t add_reply_slot() { // a slot for the answer to the command just read
+        slots_.emplace_back();
+        return first_ + slots_.size() - 1;
     }
-    void answer(std::uint64_t place, std::string bytes);
+    void set_reply(std::uint64_t slot, std::string bytes);
     // Only whole answers are given out; what is given out stays until all of it is written.
-    std::vector<std::string_view> ready();
-    void written();
+    std::vector<std::string_view> ready_replies();
+    void replies_written();
 
-    bool idle() const { return places_.empty() && writing_ == 0 && unread_.size() == used_; }
-    bool owes() const { return !places_.empty(); }
-    bool reads() const { return places_.size() < limits_.pipelined && unsent_ < limits_.unsent; }
-    std::size_t bytes() const { return unread_.capacity() + unsent_; }
-    bool half_read() const { return unread_.size() > used_; }
+    bool is_idle() const { return slots_.empty() && writing_ == 0 && unread_.size() == used_; }
+    bool has_pending_replies() const { return !slots_.empty(); }
+    bool accepts_input() const { return slots_.size() < limits_.pipelined && unsent_ < limits_.unsent; }
+    std::size_t buffered_bytes() const { return unread_.capacity() + unsent_; }
+    bool has_partial_command() const { return unread_.size() > used_; }
 
   private:
-    struct Place {
+    struct Slot {
         bool answered = false;
         std::string bytes{};
     };
@@ -49,10 +49,10 @@
     const Limits &limits_;
     std::string unread_;
     std::size_t used_ = 0; // bytes of the command last given out
-    std::vector<std::string_view> words_;
+    std::vector<std::string_view> arguments_;
     resp::Value value_;
-    std::deque<Place> places_;
-    std::uint64_t first_ = 0; // number of the oldest place
+    std::deque<Slot> slots_;
+    std::uint64_t first_ = 0; // number of the oldest slot
     std::size_t writing_ = 0, unsent_ = 0;
 };
 
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -123,17 +123,17 @@
             if (!failed) answer_all();
         });
     }
-    if (!own_key_) return clients_.leave(std::move(done));
+    if (!own_key_) return clients_.shut_down(std::move(done));
     const auto left = std::make_shared<int>(2);
     const auto one = [left, done = std::move(done)] {
         if (--*left == 0) done();
     };
     own_key_->leave(one);
-    clients_.leave(one);
+    clients_.shut_down(one);
 }
 
 void Driver::admit_by(std::shared_ptr<const Entrance> rules) {
-    clients_.rules(rules);
+    clients_.set_admission_rules(rules);
     entrance_ = std::move(rules);
     for (auto &[id, rpc] : rpcs_) rpc.counted = false;
     counter_.reset();
@@ -162,9 +162,10 @@
         const bool nothing_ran =
             rpc.unrun && std::none_of(rpc.picks.begin(), rpc.picks.end(),
                                       [](const auto &call) { return call && hosts::Hosts::has_left(call); });
-        const bool harmless = nothing_ran || start_.terms.methods.at(rpc.held->asked.method).repeat_policy ==
-                                                 RepeatPolicy::idempotent;
-        answer(rpc, harmless ? clients::busy(0) : "-ERR aborted\r\n");
+        const bool harmless =
+            nothing_ran ||
+            start_.terms.methods.at(rpc.held->request.method).repeat_policy == RepeatPolicy::idempotent;
+        answer(rpc, harmless ? clients::busy_reply(0) : "-ERR aborted\r\n");
         module().rpc_finished(id, -1);
         forget_if_over(id);
     }
@@ -211,9 +212,9 @@
         } else {
             Ticks back = made.duration;
             if (counter_ && !entrance_->observe)
-                back =
-                    clients::allowed(start_.terms, counter_->schedule_retry(at->second.wanted, back, time()));
-            answer(at->second, clients::busy(back));
+                back = clients::permitted_retry_after(
+                    start_.terms, counter_->schedule_retry(at->second.wanted, back, time()));
+            answer(at->second, clients::busy_reply(back));
         }
         return forget_if_over(made.rpc);
     }
@@ -242,8 +243,9 @@
 
 // --- RPCs ---
 
-void Driver::rpc(clients::Reply reply, std::shared_ptr<const clients::Held> held, Span age) {
-    const clients::Asked &asked = held->asked;
+void Driver::handle_rpc(clients::ReplyTarget reply, std::shared_ptr<const clients::OwnedRequest> held,
+                        Span age) {
+    const clients::Request &asked = held->request;
     const std::string id(asked.id);
     const auto [at, fresh] = rpcs_.try_emplace(id, Rpc{reply, held});
     if (!fresh) return clients::Clients::answer(reply, "-ERR this id is under way\r\n");
@@ -257,16 +259,16 @@
     const int cell = release_controller_ ? release_controller_->cell_of(asked.tenant) : -1;
     at->second.cell = cell;
     if (release_controller_) release_controller_->record_arrival(cell);
-    Ticks deadline = now_ + std::max<Ticks>(1, asked.patience - lead);
+    Ticks deadline = now_ + std::max<Ticks>(1, asked.timeout - lead);
     if (leave_by_ >= 0) deadline = std::min(deadline, std::max(now_ + 1, leave_by_));
-    to.rpc_arrived(
-        {id, asked.method, asked.tenant, std::string(asked.key), deadline, asked.retry, cell, asked.size});
+    to.rpc_arrived({id, asked.method, asked.tenant, std::string(asked.key), deadline, asked.retry, cell,
+                    asked.work_estimate});
 }
 
 // What is pushed back here has not been picked for, so that trying again is harmless. The module never hears
 // of it: it judges what it is asked.
 bool Driver::let_on(Rpc &rpc, const std::string &id, Span age) {
-    const clients::Asked &asked = rpc.held->asked;
+    const clients::Request &asked = rpc.held->request;
     const Ticks now = time();
     rpc.wanted = {asked.tenant, asked.method,
                   salted_hash(std::string(asked.key), static_cast<std::uint64_t>(asked.method)), asked.retry};
@@ -279,7 +281,7 @@
 }
 
 void Driver::turn_away(Rpc &rpc, const std::string &id, Ticks back) {
-    answer(rpc, clients::busy(clients::allowed(start_.terms, back)));
+    answer(rpc, clients::busy_reply(clients::permitted_retry_after(start_.terms, back)));
     forget_if_over(id);
 }
 
@@ -287,7 +289,7 @@
     if (std::exchange(rpc.counted, false)) counter_->finished(served, time());
 }
 
-void Driver::left(const std::string &id) {
+void Driver::handle_client_left(const std::string &id) {
     const auto at = rpcs_.find(id);
     if (at == rpcs_.end() || at->second.finished) return;
     at->second.finished = true;
@@ -302,7 +304,7 @@
     over(rpc, bytes[0] == '*' || bytes[0] == '$');
     withdraw(rpc);
     clients::Clients::answer(rpc.reply, std::move(bytes));
-    rpc.reply.client.reset();
+    rpc.reply.connection.reset();
 }
 
 void Driver::withdraw(const Rpc &rpc) {
@@ -326,7 +328,7 @@
 // A tokened RPC of which a pick may have run is sent again within its window only, counted up to the last
 // byte and not to the decision. Stops one whose connection is long in coming from having its effect twice.
 std::optional<hosts::Clock::time_point> Driver::latest_for(const Rpc &rpc) const {
-    const Method &method = start_.terms.methods.at(rpc.held->asked.method);
+    const Method &method = start_.terms.methods.at(rpc.held->request.method);
     const bool maybe_ran = !rpc.unrun || rpc.under_way > 1;
     if (method.repeat_policy != RepeatPolicy::tokened || rpc.first_sent < 0 || !maybe_ran)
         return std::nullopt;
@@ -345,8 +347,8 @@
     if (release_controller_) release_controller_->record_pick_end(build, rpc.cell, ending.outcome);
     // Stops a pick that has yet to leave from taking a key to an earlier build than one that may have
     // answered it.
-    const bool holds_key = !proves_no_answer(ending.outcome) && !rpc.held->asked.key.empty();
-    if (holds_key && start_.terms.rollout.sticky_keys) hosts_.withdraw_key(rpc.held->asked.key, build);
+    const bool holds_key = !proves_no_answer(ending.outcome) && !rpc.held->request.key.empty();
+    if (holds_key && start_.terms.rollout.sticky_keys) hosts_.withdraw_key(rpc.held->request.key, build);
     if (ending.outcome == Outcome::ok) answer(rpc, ending.value);
     to.pick_ended(id, pick, ending.outcome, now_ - sent, rpc.finished, ending.report);
     log_(Level::debug, "ended ", id, " pick ", pick, " at ", host, " outcome ",
@@ -359,7 +361,7 @@
     if (at != rpcs_.end() && at->second.finished && at->second.under_way == 0) rpcs_.erase(at);
 }
 
-void Driver::crowded() { hosts_.free_idle(0); }
+void Driver::handle_descriptors_exhausted() { hosts_.free_idle(0); }
 
 // --- what discovery and the platform tell ---
 
@@ -474,8 +476,8 @@
         timer.expires_after(start_.limits.sweep);
         co_await timer.async_wait(asio::use_awaitable);
         hosts_.sweep();
-        log_(Level::debug, "clients ", clients_.open(), ", connections to hosts ", hosts_.open(), ", RPCs ",
-             rpcs_.size());
+        log_(Level::debug, "clients ", clients_.open_connections(), ", connections to hosts ", hosts_.open(),
+             ", RPCs ", rpcs_.size());
         say_held();
         say_rehearsed();
     }
--- a/src/router/driver.hpp
+++ b/src/router/driver.hpp
@@ -19,7 +19,7 @@
 
 namespace asio = boost::asio;
 
-class Driver final : clients::Desk {
+class Driver final : clients::RequestHandler {
   public:
     Driver(boost::asio::io_context &io, const Start &start, const Log &log);
 
@@ -32,8 +32,8 @@
     using Instant = std::chrono::steady_clock::time_point;
 
     struct Rpc {
-        clients::Reply reply;
-        std::shared_ptr<const clients::Held> held;
+        clients::ReplyTarget reply;
+        std::shared_ptr<const clients::OwnedRequest> held;
         bool finished = false; // answered, or its client has left
         std::size_t under_way = 0;
         int cell = -1;
@@ -44,9 +44,10 @@
         Ticks first_sent = -1; // of those that may have run, or are out
     };
 
-    void rpc(clients::Reply reply, std::shared_ptr<const clients::Held> held, Span age) override;
-    void left(const std::string &id) override;
-    void crowded() override;
+    void handle_rpc(clients::ReplyTarget reply, std::shared_ptr<const clients::OwnedRequest> held,
+                    Span age) override;
+    void handle_client_left(const std::string &id) override;
+    void handle_descriptors_exhausted() override;
 
     // The module at this turn's time. All that one turn of the loop reads is told before decisions are
     // pulled.
--- a/src/router/hosts/hosts.cpp
+++ b/src/router/hosts/hosts.cpp
@@ -16,7 +16,7 @@
 
 class Call : public std::enable_shared_from_this<Call> {
   public:
-    Call(Hosts &home, std::string id, std::shared_ptr<const clients::Held> held, Ticks span,
+    Call(Hosts &home, std::string id, std::shared_ptr<const clients::OwnedRequest> held, Ticks span,
          std::optional<Clock::time_point> latest, Ended ended)
         : home_(home), id_(std::move(id)), held_(std::move(held)),
           until_(Clock::now() + std::chrono::microseconds(span * 100)), latest_(latest),
@@ -25,7 +25,7 @@
         const auto at = home_.places_.find(id_);
         process_ = at == home_.places_.end() ? 0 : at->second.process;
         build_ = home_.build_of(id_);
-        if (home_.start_.terms.rollout.sticky_keys) kept_key_ = held_->asked.key;
+        if (home_.start_.terms.rollout.sticky_keys) kept_key_ = held_->request.key;
     }
 
     asio::awaitable<void> run() {
@@ -66,7 +66,7 @@
     }
     bool has_left() const { return sent_; }
     const std::string &host() const { return id_; }
-    std::string_view key() const { return held_->asked.key; }
+    std::string_view key() const { return held_->request.key; }
 
     bool waits() const { return ended_ && !socket_ && !cut_ && !refused_; }
     void take(std::unique_ptr<Socket> socket) {
@@ -126,8 +126,8 @@
     // left.
     asio::awaitable<bool> write() {
         const auto left = std::chrono::duration_cast<std::chrono::microseconds>(until_ - Clock::now());
-        clients::Reworded words;
-        clients::reword(*held_, std::max<Ticks>(1, left.count() / 100), words);
+        clients::EncodedRequest words;
+        clients::encode_with_timeout(*held_, std::max<Ticks>(1, left.count() / 100), words);
         std::array<asio::const_buffer, 5> buffers;
         std::size_t total = 0;
         for (std::size_t i = 0; i < buffers.size(); ++i) {
@@ -171,7 +171,7 @@
 
     Hosts &home_;
     std::string id_;
-    std::shared_ptr<const clients::Held> held_;
+    std::shared_ptr<const clients::OwnedRequest> held_;
     Clock::time_point until_;
     std::optional<Clock::time_point> latest_; // to be sent
     Ended ended_;
@@ -243,7 +243,7 @@
     }
 }
 
-std::shared_ptr<Call> Hosts::send(const std::string &id, std::shared_ptr<const clients::Held> held,
+std::shared_ptr<Call> Hosts::send(const std::string &id, std::shared_ptr<const clients::OwnedRequest> held,
                                   Ticks span, std::optional<Clock::time_point> latest, Ended ended) {
     auto call = std::make_shared<Call>(*this, id, std::move(held), span, latest, std::move(ended));
     unsent_.insert(call.get()); // from the decision on: its run begins a turn of the loop later
--- a/src/router/hosts/hosts.hpp
+++ b/src/router/hosts/hosts.hpp
@@ -34,8 +34,8 @@
 
     // Sends the command; `ended` is called once, never from within this call. Past `latest` it is not sent
     // any more.
-    std::shared_ptr<Call> send(const std::string &id, std::shared_ptr<const clients::Held> held, Ticks span,
-                               std::optional<Clock::time_point> latest, Ended ended);
+    std::shared_ptr<Call> send(const std::string &id, std::shared_ptr<const clients::OwnedRequest> held,
+                               Ticks span, std::optional<Clock::time_point> latest, Ended ended);
     void cut(const std::shared_ptr<Call> &call);
     void withdraw(const std::shared_ptr<Call> &call); // its RPC is over: ends it unless it is on its host
     void withdraw_from(int build); // all that has yet to leave for its hosts
--- a/tests/admission/flood_test.cpp
+++ b/tests/admission/flood_test.cpp
@@ -1,7 +1,7 @@
 // Runs a router with admission rules on loopback under floods of unknown clients: configured clients are
 // still served, and each RPC that the router accepted is answered.
 #undef NDEBUG
-#include "../served.hpp"
+#include "../running_router.hpp"
 #include "../until.hpp"
 #include "standins/flood/flood.hpp"
 #include "standins/town/town.hpp"
@@ -30,8 +30,8 @@
         for (int i = 0; i < 4; ++i) town.host("h" + std::to_string(i), "north", 1);
         town.write_files();
         write_settings(rules);
-        served.begin(io, town.folder);
-        until([&] { return served.has_logged("serving"); });
+        router.launch(io, town.folder);
+        until([&] { return router.has_logged("serving"); });
         // The module may push back too, which is not under test: clients retry.
         town.clients.lose_patience(6);
     }
@@ -49,7 +49,7 @@
     void until(const std::function<bool()> &condition,
                const std::source_location &place = std::source_location::current()) {
         run_until(
-            io, condition, 120, [&] { return served.logged.str(); }, place);
+            io, condition, 120, [&] { return router.log_text.str(); }, place);
     }
     // Sends RPCs of configured clients, at most sixteen at a time, and counts their answers.
     void send_rpcs(int count) {
@@ -74,7 +74,7 @@
 
     boost::asio::io_context io;
     standins::Town town;
-    Served served;
+    RunningRouter router;
     int answered_ = 0, served_ = 0;
 };
 
@@ -90,7 +90,7 @@
         fixture.send_rpcs(400);
         if (fixture.served_share() < 0.95)
             std::cerr << fixture.served_ << " of " << fixture.answered_ << "\n"
-                      << fixture.served.logged.str();
+                      << fixture.router.log_text.str();
         assert(fixture.served_share() >= 0.95);
         fixture.until([&] { return flood.seen().pushed_back > 50; });
         assert(flood.seen().least_back >= 200 && flood.seen().most_back > flood.seen().least_back);
@@ -114,7 +114,7 @@
 // faulty settings leave the earlier ones in force.
 void rules_are_reloaded_under_a_flood() {
     Fixture fixture("<others/>");
-    auto &start = fixture.served.start;
+    auto &start = fixture.router.start;
     start.wishes_again = [path = (fixture.town.folder / "settings.xml").string()] {
         return read_wishes_file(path);
     };
@@ -124,13 +124,13 @@
     fixture.write_settings(
         "<others most=\"60\"/>\n<crowd name=\"desks\"><network address=\"127.0.0.1/8\"/></crowd>");
     std::raise(SIGHUP);
-    fixture.until([&] { return fixture.served.has_logged("settings kept: "); });
-    assert(fixture.served.has_logged(
+    fixture.until([&] { return fixture.router.has_logged("settings kept: "); });
+    assert(fixture.router.has_logged(
         "settings.xml:4: network.address: bits set behind the prefix: 127.0.0.1/8"));
     fixture.write_settings("<others most=\"60\"/>\n<crowd name=\"desks\" reserve=\"500\"><network "
                            "address=\"127.0.0.1\"/></crowd>");
     std::raise(SIGHUP);
-    fixture.until([&] { return fixture.served.has_logged("admission.crowd.reserve: together 500"); });
+    fixture.until([&] { return fixture.router.has_logged("admission.crowd.reserve: together 500"); });
     std::string networks;
     for (int i = 0; i < 20000; ++i)
         networks += "<network address=\"10." + std::to_string(i / 250) + "." + std::to_string(i % 250) +
@@ -140,7 +140,7 @@
         "address=\"127.0.0.1\"/>\n" +
         networks + "</crowd>");
     std::raise(SIGHUP);
-    fixture.until([&] { return fixture.served.has_logged("settings read again, crowds 2, networks 20001"); });
+    fixture.until([&] { return fixture.router.has_logged("settings read again, crowds 2, networks 20001"); });
     const auto pushed_back_before = flood.seen().pushed_back;
     fixture.until([&] { return flood.seen().pushed_back > pushed_back_before + 50; });
     fixture.send_rpcs(200);
@@ -175,7 +175,7 @@
                     {Manner::asks, 0x7f080001, 1, 1, 0, "PROXY TCP9 \r\n", kDrip, kPause});
     malformed.begin();
     fixture.until([&] { return malformed.seen().ended >= 3; });
-    assert(fixture.served.has_logged("a front's header: version 1: neither TCP4"));
+    assert(fixture.router.has_logged("a front's header: version 1: neither TCP4"));
     malformed.stop();
 }
 
@@ -214,7 +214,7 @@
     fixture.town.discovery.changed();
     fixture.send_rpcs(200);
     assert(fixture.served_share() >= 0.95);
-    assert(!fixture.served.has_logged("no descriptor"));
+    assert(!fixture.router.has_logged("no descriptor"));
     flood.stop();
 }
 
@@ -224,7 +224,7 @@
     Fixture fixture(R"(<others/><crowd name="desks" reserve="20"><network address="127.0.0.1/32"/></crowd>)");
     Flood flood(fixture.io, fixture.town.listen, {Manner::swells, 0x7f070001, 100, 1, 100});
     flood.begin();
-    fixture.until([&] { return fixture.served.has_logged("memory of clients short, closed"); });
+    fixture.until([&] { return fixture.router.has_logged("memory of clients short, closed"); });
     fixture.send_rpcs(60);
     assert(fixture.served_share() >= 0.95 && flood.seen().ended > 0 && flood.seen().ended < 100);
     flood.stop();
@@ -237,15 +237,15 @@
 void observe_mode_refuses_nothing() {
     Fixture fixture("<others per-address=\"2\"/>");
     fixture.write_settings("<others per-address=\"2\"/>", " mode=\"observe\"");
-    fixture.served.start.wishes_again = [path = (fixture.town.folder / "settings.xml").string()] {
+    fixture.router.start.wishes_again = [path = (fixture.town.folder / "settings.xml").string()] {
         return read_wishes_file(path);
     };
     std::raise(SIGHUP);
-    fixture.until([&] { return fixture.served.has_logged("settings read again"); });
+    fixture.until([&] { return fixture.router.has_logged("settings read again"); });
     Flood flood(fixture.io, fixture.town.listen, {Manner::asks, 0x7f070001, 1, 1, 20});
     flood.begin();
     fixture.until([&] {
-        return flood.seen().served > 20 && fixture.served.has_logged("would have refused connections");
+        return flood.seen().served > 20 && fixture.router.has_logged("would have refused connections");
     });
     assert(flood.seen().pushed_back == 0);
     flood.stop();
--- a/tests/client_close_test.cpp
+++ b/tests/client_close_test.cpp
@@ -23,9 +23,10 @@
 namespace {
 
 // Takes RPCs in the module's place, and answers each with its id.
-struct ScriptedDesk final : clients::Desk {
-    void rpc(clients::Reply reply, std::shared_ptr<const clients::Held> held, Span) override {
-        const std::string id(held->asked.id);
+struct ScriptedHandler final : clients::RequestHandler {
+    void handle_rpc(clients::ReplyTarget reply, std::shared_ptr<const clients::OwnedRequest> held,
+                    Span) override {
+        const std::string id(held->request.id);
         taken.push_back(id);
         if (on_rpc) on_rpc(id);
         if (answers)
@@ -33,8 +34,8 @@
         else
             kept.push_back(reply);
     }
-    void left(const std::string &) override {}
-    void crowded() override {}
+    void handle_client_left(const std::string &) override {}
+    void handle_descriptors_exhausted() override {}
     void answer_first() { clients::Clients::answer(kept.front(), bulk(taken.front())); }
 
     bool has_taken(const std::string &id) const {
@@ -44,7 +45,7 @@
     std::function<void(const std::string &id)> on_rpc;
     std::vector<std::string> taken;
     bool answers = true; // at once; else the replies are kept
-    std::vector<clients::Reply> kept;
+    std::vector<clients::ReplyTarget> kept;
 };
 
 admission::DescriptorBudget ledger_for(const Limits &limits) {
@@ -68,7 +69,7 @@
         return client;
     }
     void leave() {
-        served->leave([this] { left = true; });
+        served->shut_down([this] { left = true; });
     }
     // All that the client is sent until so much has come or the connection has ended.
     std::string answers(tcp::socket &client, std::size_t wanted) {
@@ -94,7 +95,7 @@
 
     Town town;
     Start start;
-    ScriptedDesk desk;
+    ScriptedHandler desk;
     admission::DescriptorBudget ledger = ledger_for(start.limits);
     std::optional<clients::Clients> served;
     bool left = false;
@@ -107,7 +108,7 @@
     tcp::socket client = entry.connect();
     const std::string first = ask("id-one");
     asio::write(client, asio::buffer(first.substr(0, 20)));
-    entry.town.until([&] { return entry.served->open() == 1; });
+    entry.town.until([&] { return entry.served->open_connections() == 1; });
     entry.leave();
     entry.desk.on_rpc = [&](const std::string &id) {
         if (id == "id-one") asio::write(client, asio::buffer(ask("id-two")));
@@ -165,7 +166,7 @@
     tcp::socket client = entry.connect();
     const std::string asked = ask("id-one");
     asio::write(client, asio::buffer(asked.substr(0, 20)));
-    entry.town.until([&] { return entry.served->open() == 1; });
+    entry.town.until([&] { return entry.served->open_connections() == 1; });
     // Due before the sweep, and run in the same turn: the loop is held up past both.
     asio::steady_timer rest(entry.town.io, std::chrono::milliseconds(60));
     rest.async_wait([&](boost::system::error_code) { asio::write(client, asio::buffer(asked.substr(20))); });
@@ -190,7 +191,7 @@
     asio::steady_timer answering(entry.town.io, std::chrono::milliseconds(50));
     answering.async_wait([&](boost::system::error_code) { entry.desk.answer_first(); });
     asio::post(entry.town.io, [] { std::this_thread::sleep_for(std::chrono::milliseconds(250)); });
-    entry.town.until([&] { return entry.served->open() == 0; });
+    entry.town.until([&] { return entry.served->open_connections() == 0; });
     for (int turn = 0; turn < 10; ++turn) entry.town.io.poll();
     assert(!entry.desk.has_taken("id-two"));
 }
@@ -224,7 +225,7 @@
     tcp::socket first = entry.connect();
     const std::string asked = ask("id-one");
     asio::write(first, asio::buffer(asked.substr(0, 20)));
-    entry.town.until([&] { return entry.served->open() == 1; });
+    entry.town.until([&] { return entry.served->open_connections() == 1; });
     entry.leave();
     for (int turn = 0; turn < 10; ++turn) entry.town.io.poll();
     tcp::socket silent = entry.connect();
--- a/tests/membership/world.hpp
+++ b/tests/membership/world.hpp
@@ -1,7 +1,7 @@
 // A whole router that has its hosts from a stand-in registry, with traffic; for the test and the measurement.
 #pragma once
 
-#include "../served.hpp"
+#include "../running_router.hpp"
 #include "../until.hpp"
 #include "standins/registry/registry.hpp"
 #include "standins/town/town.hpp"
@@ -24,18 +24,18 @@
             << R"(<pineridge xmlns="urn:pineridge:settings:1"><registry prefix="/hosts/" plaintext="true"><endpoint address=")"
             << registry.address()
             << R"("/><watch progress-s="0.1" quiet-s="0.5" look-s="0.4" answer-s="0.5"/></registry></pineridge>)";
-        served.begin(io, town.folder);
+        router.launch(io, town.folder);
         until([&] { return said("serving") && registry.watches() > 0; });
         town.flow("acme", 500);
     }
     ~RegistryWorld() { town.stop(); }
 
     void put(const standins::Host &host) { registry.put("/hosts/" + host.id, host.entry().dump()); }
-    bool said(const std::string &part) const { return served.has_logged(part); }
+    bool said(const std::string &part) const { return router.has_logged(part); }
     void until(const std::function<bool()> &held,
                const std::source_location &place = std::source_location::current()) {
         run_until(
-            io, held, 30, [&] { return served.logged.str(); }, place);
+            io, held, 30, [&] { return router.log_text.str(); }, place);
     }
     int picks_at(const std::string &id, std::int64_t since) const {
         int count = 0;
@@ -75,7 +75,7 @@
     boost::asio::io_context io;
     standins::Town town;
     standins::Registry registry;
-    Served served;
+    RunningRouter router;
 };
 
 } // namespace pineridge::test
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -37,8 +37,8 @@
     for (const std::string &part : parts) {
         session.feed(part);
         for (auto got = session.next(); got != clients::Session::Next::none; got = session.next()) {
-            if (got == clients::Session::Next::broken) return seen + "broken";
-            for (const std::string_view word : session.words()) seen.append(word).append(" ");
+            if (got == clients::Session::Next::malformed) return seen + "broken";
+            for (const std::string_view word : session.arguments()) seen.append(word).append(" ");
             seen += "; ";
         }
     }
@@ -68,21 +68,21 @@
 
 void answers_keep_the_order_of_commands() {
     clients::Session session(kLimits);
-    const auto first = session.expect(), second = session.expect();
-    session.answer(second, "two");
-    assert(session.ready().empty());
-    session.answer(first, "one");
-    session.answer(first, "again");
-    assert(text_of(session.ready()) == "onetwo");
-    session.written();
-    assert(!session.owes() && session.idle());
+    const auto first = session.add_reply_slot(), second = session.add_reply_slot();
+    session.set_reply(second, "two");
+    assert(session.ready_replies().empty());
+    session.set_reply(first, "one");
+    session.set_reply(first, "again");
+    assert(text_of(session.ready_replies()) == "onetwo");
+    session.replies_written();
+    assert(!session.has_pending_replies() && session.is_idle());
 }
 
 void a_client_that_pipelines_too_much_is_held_back() {
     clients::Session session(kLimits);
     session.feed("*1\r\n$1\r\na\r\n");
-    for (int i = 0; i < 3; ++i) session.expect();
-    assert(!session.reads() && session.next() == clients::Session::Next::none);
+    for (int i = 0; i < 3; ++i) session.add_reply_slot();
+    assert(!session.accepts_input() && session.next() == clients::Session::Next::none);
 }
 
 std::string answered(const std::vector<std::string> &parts) {
--- a/tests/release/loopback_test.cpp
+++ b/tests/release/loopback_test.cpp
@@ -2,7 +2,7 @@
 // wait for events, not for times. A checker verifies the rules of releases by cell against what the stand-ins
 // recorded.
 #undef NDEBUG
-#include "../served.hpp"
+#include "../running_router.hpp"
 #include "../until.hpp"
 #include "standins/town/town.hpp"
 
@@ -30,20 +30,20 @@
 
     void serve() {
         town.write_files();
-        served.begin(io, town.folder);
+        router.launch(io, town.folder);
         until([&] { return has_logged("serving"); });
     }
     void until(const std::function<bool()> &condition,
                const std::source_location &place = std::source_location::current()) {
         const auto describe = [&] {
             std::ostringstream text;
-            text << "RPCs open " << town.clients.open() << "\n" << served.logged.str();
+            text << "RPCs open " << town.clients.open() << "\n" << router.log_text.str();
             for (const Step &step : town.desk.ledger().steps()) text << step.at << " " << step.word << "\n";
             return text.str();
         };
         test::run_until(io, condition, 30, describe, place);
     }
-    bool has_logged(const std::string &part) const { return served.has_logged(part); }
+    bool has_logged(const std::string &part) const { return router.has_logged(part); }
     // Sends this many RPCs of the customer, each after the previous one has been answered.
     void send_rpcs(const std::string &customer, int rpcs, const std::string &method = "lookup",
                    const std::source_location &place = std::source_location::current()) {
@@ -84,7 +84,7 @@
 
     boost::asio::io_context io;
     Town town;
-    test::Served served;
+    test::RunningRouter router;
     int keys = 0;
 };
 
--- a/tests/served.hpp
+++ b/tests/running_router.hpp
@@ -9,19 +9,19 @@
 
 namespace pineridge::test {
 
-struct Served {
-    void begin(boost::asio::io_context &io, const std::filesystem::path &folder) {
+struct RunningRouter {
+    void launch(boost::asio::io_context &io, const std::filesystem::path &folder) {
         const std::string config = (folder / "config.json").string();
         const router::Environment environment = [](const char *) { return nullptr; };
         start = router::read_start_file(config, environment);
         router::take_wishes(start, read_wishes_file((folder / "settings.xml").string()));
-        log.emplace(logged, "n1", Level::info);
+        log.emplace(log_text, "n1", Level::info);
         service = std::make_unique<router::Service>(io, config, environment, start, *log, [] {});
     }
-    bool has_logged(const std::string &part) const { return logged.str().find(part) != std::string::npos; }
+    bool has_logged(const std::string &part) const { return log_text.str().find(part) != std::string::npos; }
 
     router::Start start;
-    std::ostringstream logged;
+    std::ostringstream log_text;
     std::optional<Log> log;
     std::unique_ptr<router::Service> service;
 };
--- a/tests/telling_test.cpp
+++ b/tests/telling_test.cpp
@@ -38,11 +38,11 @@
 
 void an_rpc_is_read_and_passed_on_with_the_time_left() {
     const std::string command = command_of("c=order,d=480,t=zeta,h=9,k=x");
-    const clients::Asked asked = clients::read_rpc(words_of(command), kNames, 9);
-    assert(asked.method == 1 && asked.tenant == 1 && asked.patience == 4800 && asked.id == "id");
-    const clients::Held held(command, asked);
-    clients::Reworded words;
-    clients::reword(held, 71, words);
+    const clients::Request asked = clients::parse_request(words_of(command), kNames, 9);
+    assert(asked.method == 1 && asked.tenant == 1 && asked.timeout == 4800 && asked.id == "id");
+    const clients::OwnedRequest held(command, asked);
+    clients::EncodedRequest words;
+    clients::encode_with_timeout(held, 71, words);
     std::string passed;
     for (const std::string_view part : words.parts) passed += part;
     assert(passed == command_of("c=order,d=8,t=zeta,h=9,k=x"));
@@ -51,7 +51,7 @@
 void odd_names_are_refused_by_name() {
     const auto says = [](const std::string &names) {
         const std::string command = command_of(names);
-        return complaint([&] { clients::read_rpc(words_of(command), kNames, 9); }).substr(0, 2);
+        return complaint([&] { clients::parse_request(words_of(command), kNames, 9); }).substr(0, 2);
     };
     assert(says("c=order,d=480,t=acme") == "");
     assert(says("c=lookup,d=480,t=acme") == "c:" && says("c=order,d=480") == "t:");
