--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -14,14 +14,14 @@
 using asio::detached;
 using asio::use_awaitable;
 using Clock = std::chrono::steady_clock;
-using Deferred = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_DEFER_ACCEPT>;
+using DeferAccept = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_DEFER_ACCEPT>;
 
-// What the kernel knows of a connection: has its client closed, and how long has what it sent last lain here?
-struct Heard {
-    bool closed = false;
-    Span age{0};
+// What the kernel reports of a connection.
+struct SocketState {
+    bool peer_closed = false; // also true where the kernel reports nothing
+    Span since_last_receive{0};
 };
-Heard heard(int socket) {
+SocketState socket_state(int socket) {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return {true, Span(0)};
@@ -30,365 +30,393 @@
 
 } // namespace
 
+// One client connection: owns its socket and its session. It lives as long as Clients, a
+// coroutine, a callback or a reply target refers to it. Its member functions do not block.
 class Connection : public std::enable_shared_from_this<Connection> {
   public:
-    Connection(Clients &home, asio::ip::tcp::socket socket, bool behind_front)
-        : home_(home), socket_(std::move(socket)), resume_(socket_.get_executor()),
-          linger_(socket_.get_executor()), session_(home.start_.limits), since_(Clock::now()),
-          needs_head_(behind_front) {
-        guest_.owner = this;
+    Connection(Clients &clients, asio::ip::tcp::socket socket, bool behind_proxy)
+        : clients_(clients), socket_(std::move(socket)), resume_timer_(socket_.get_executor()),
+          linger_timer_(socket_.get_executor()), session_(clients.start_.limits),
+          last_activity_(Clock::now()), awaits_proxy_header_(behind_proxy) {
+        limiter_entry_.owner = this;
     }
 
-    // Asks for a seat; whoever goes for it is closed. Above 0: it may not stay, and is to come back after so
-    // long.
-    Ticks come_in(const asio::ip::address &from) {
-        const admission::ConnectionDecision said =
-            home_.door_->try_admit(guest_, number_of(from), home_.now());
-        seated_ = said.admitted();
-        if (said.evicted) static_cast<Connection *>(said.evicted->owner)->close();
-        return home_.rules_->observe ? 0 : said.retry_after;
+    // Asks the connection limiter to admit this connection, and closes the connection that it evicts in
+    // return. Returns 0 when admitted; else the connection is refused and the client may retry after the
+    // returned time.
+    Ticks request_admission(const asio::ip::address &from) {
+        const admission::ConnectionDecision decision =
+            clients_.connection_limiter_->try_admit(limiter_entry_, number_of(from), clients_.now_ticks());
+        admitted_ = decision.admitted();
+        if (decision.evicted) static_cast<Connection *>(decision.evicted->owner)->close();
+        return clients_.admission_rules_->observe ? 0 : decision.retry_after;
     }
 
     asio::awaitable<void> serve() {
         const auto self = shared_from_this();
-        const Limits &limits = home_.start_.limits;
+        const Limits &limits = clients_.start_.limits;
         while (!closed_) {
-            const bool short_of_memory = session_.has_pending_replies() && home_.crammed();
-            if (short_of_memory || !may_read()) {
-                resume_.expires_after(short_of_memory ? limits.crammed_pause : limits.unread_look);
-                co_await resume_.async_wait(as_tuple(use_awaitable));
-                // Stops RPCs of a client that has left from being sent on while it is not read from.
-                if (!closed_ && heard(socket_.native_handle()).closed) break;
+            const bool pause_for_memory = session_.has_pending_replies() && clients_.is_short_of_memory();
+            if (pause_for_memory || !may_read()) {
+                resume_timer_.expires_after(pause_for_memory ? limits.crammed_pause : limits.unread_look);
+                co_await resume_timer_.async_wait(as_tuple(use_awaitable));
+                // A close by the client cannot be read while reading is paused. Without this check RPCs of a
+                // client that has left would still be sent to hosts.
+                if (!closed_ && socket_state(socket_.native_handle()).peer_closed) break;
                 continue;
             }
-            if (read_available() == Read::ended) break;
+            if (read_available() == ReadResult::closed) break;
             if (closed_) break;
             co_await socket_.async_wait(asio::socket_base::wait_read, as_tuple(use_awaitable));
         }
-        leave(); // what it still waits for ends here
+        handle_disconnect(); // ends the RPCs that are still unanswered
     }
 
-    void answer(std::uint64_t place, std::string bytes) {
+    void answer(std::uint64_t slot, std::string bytes) {
         if (closed_) return;
         const bool served = bytes[0] == '$' || bytes[0] == '*';
-        session_.set_reply(place, std::move(bytes));
-        if (std::erase_if(waiting_, [&](const auto &at) { return at.first == place; }) > 0 && seated_)
-            answered_.push_back(served);
+        session_.set_reply(slot, std::move(bytes));
+        if (std::erase_if(unanswered_rpcs_, [&](const auto &rpc) { return rpc.first == slot; }) > 0 &&
+            admitted_)
+            unwritten_outcomes_.push_back(served);
         write();
-        weigh();
+        update_buffered_bytes();
     }
 
-    // Closes the connection, unless anything is owed on it. It is read once more right before: what has
-    // arrived by then is taken and answered. What comes later meets the close unread, and its client sends it
-    // again elsewhere.
+    // Closes the connection unless a command is incomplete or unanswered on it. It is read once more right
+    // before the close, so that bytes which have arrived by then are handled and answered. The client of a
+    // command that arrives later sees the close without a reply, and sends the command again elsewhere.
     void close_if_idle() {
         if (!session_.is_idle() || writing_) return;
-        if (read_available() != Read::some) close();
+        if (read_available() != ReadResult::some) close();
     }
-    // The same for a client that is stuck, should what has arrived meanwhile not have moved it on.
-    void close_if_stuck(Clock::time_point now) {
-        if (!stuck(now)) return;
-        if (may_read() && read_available() == Read::ended) return leave();
-        if (stuck(now)) close();
+    // Closes a stalled connection, unless bytes that have arrived meanwhile let it make progress.
+    void close_if_stalled(Clock::time_point now) {
+        if (!is_stalled(now)) return;
+        if (may_read() && read_available() == ReadResult::closed) return handle_disconnect();
+        if (is_stalled(now)) close();
     }
-    bool used() const { return used_; }
-    void unseat() {
-        if (std::exchange(seated_, false)) home_.door_->closed(guest_);
-        answered_.clear();
+    bool has_sent_command() const { return has_sent_command_; }
+    void withdraw_from_limiter() {
+        if (std::exchange(admitted_, false)) clients_.connection_limiter_->closed(limiter_entry_);
+        unwritten_outcomes_.clear();
     }
-    Clock::time_point since() const { return since_; }
-    // Commands of it that are there already are pushed back, each; then it is closed. Costs a read, a write
-    // and a close, as a flood is met by this.
-    void turn_away(Ticks back) {
-        std::array<char, 4096> room;
+    Clock::time_point last_activity() const { return last_activity_; }
+    // Pushes back each command that has already arrived, then closes the connection. This path handles floods
+    // of connections, so it costs one read, one write and one close.
+    void reject(Ticks retry_after) {
+        std::array<char, 4096> buffer;
         boost::system::error_code failed;
-        const std::size_t size = socket_.read_some(asio::buffer(room), failed);
+        const std::size_t size = socket_.read_some(asio::buffer(buffer), failed);
         if (!failed) {
-            session_.feed({room.data(), size});
-            std::string answers;
+            session_.feed({buffer.data(), size});
+            std::string replies;
             while (session_.next() == Session::Next::command)
-                answers += home_.refusal(session_.arguments(), back);
-            socket_.write_some(asio::buffer(answers), failed);
+                replies += clients_.rejection_reply(session_.arguments(), retry_after);
+            socket_.write_some(asio::buffer(replies), failed);
         }
         closed_ = true;
         socket_.close(failed);
     }
-    bool stuck(Clock::time_point now) const {
-        const Limits &limits = home_.start_.limits;
-        const Entrance *const rules = home_.rules_.get();
-        const auto told = [&](Ticks Entrance::*span, Span otherwise) {
-            return rules ? Span(rules->*span / 10) : otherwise;
+    // True where the client has been inactive for too long: it does not read its replies, does not
+    // complete a command or its PROXY header, or has not sent a first byte.
+    bool is_stalled(Clock::time_point now) const {
+        const Limits &limits = clients_.start_.limits;
+        const Entrance *const rules = clients_.admission_rules_.get();
+        const auto configured_or = [&](Ticks Entrance::*duration, Span default_duration) {
+            return rules ? Span(rules->*duration / 10) : default_duration;
         };
-        const Span quiet = std::chrono::floor<Span>(now - since_);
-        if (writing_) return quiet > told(&Entrance::unread, limits.unread_answers);
+        const Span inactive_for = std::chrono::floor<Span>(now - last_activity_);
+        if (writing_) return inactive_for > configured_or(&Entrance::unread, limits.unread_answers);
         if (session_.has_pending_replies()) return false;
-        if (session_.has_partial_command() || needs_head_)
-            return std::chrono::floor<Span>(now -
-                                            (half_since_ == Clock::time_point{} ? since_ : half_since_)) >
-                   told(&Entrance::whole_command, limits.half_command);
-        return rules && !used_ && quiet > told(&Entrance::first_byte, limits.half_command);
+        if (session_.has_partial_command() || awaits_proxy_header_)
+            return std::chrono::floor<Span>(now - (partial_command_since_ == Clock::time_point{}
+                                                       ? last_activity_
+                                                       : partial_command_since_)) >
+                   configured_or(&Entrance::whole_command, limits.half_command);
+        return rules && !has_sent_command_ &&
+               inactive_for > configured_or(&Entrance::first_byte, limits.half_command);
     }
-    std::size_t bytes() const { return bytes_; }
-    bool owes() const { return session_.has_pending_replies(); }
+    std::size_t buffered_bytes() const { return buffered_bytes_; }
+    bool has_pending_replies() const { return session_.has_pending_replies(); }
 
     void close() {
         if (closed_) return;
         closed_ = true;
         boost::system::error_code ignored;
         socket_.close(ignored);
-        resume_.cancel();
-        linger_.cancel();
-        for (const auto &[place, id] : std::exchange(waiting_, {})) home_.handler_.handle_client_left(id);
-        if (std::exchange(seated_, false)) home_.door_->closed(guest_);
-        home_.held_bytes_ -= std::exchange(bytes_, 0);
-        home_.busy(*this);
-        home_.open_.erase(shared_from_this());
-        if (std::exchange(counted, false)) home_.ledger_.release(admission::Purpose::clients);
-        home_.room_.cancel();
+        resume_timer_.cancel();
+        linger_timer_.cancel();
+        for (const auto &[slot, id] : std::exchange(unanswered_rpcs_, {}))
+            clients_.handler_.handle_client_left(id);
+        if (std::exchange(admitted_, false)) clients_.connection_limiter_->closed(limiter_entry_);
+        clients_.total_buffered_bytes_ -= std::exchange(buffered_bytes_, 0);
+        clients_.remove_idle(*this);
+        clients_.connections_.erase(shared_from_this());
+        if (std::exchange(holds_descriptor, false))
+            clients_.descriptor_budget_.release(admission::Purpose::clients);
+        clients_.accept_timer_.cancel();
     }
 
-    bool counted = false; // in the ledger
-    std::optional<std::list<Connection *>::iterator> resting; // its place among the idle ones
+    bool holds_descriptor = false; // from the descriptor budget
+    std::optional<std::list<Connection *>::iterator> idle_position; // set while in idle_connections_
 
   private:
-    enum class Read { nothing, some, ended };
+    enum class ReadResult { none, some, closed };
 
     bool may_read() const {
-        return broken_ ? discarded_ <= home_.start_.limits.discarded : session_.accepts_input();
+        return discards_input_ ? discarded_bytes_ <= clients_.start_.limits.discarded
+                               : session_.accepts_input();
     }
 
-    // Reads what the kernel holds, without waiting, and takes the commands in it. Bytes leave the kernel only
-    // here and are in the session before anything else runs: an asynchronous read would complete, and a close
-    // in the same turn of the loop would find neither unread bytes nor a command, before its handler had run.
-    Read read_available() {
+    // Reads what the kernel has received, without blocking, and handles the commands in it. Bytes leave the
+    // kernel only here and are in the session before anything else runs. An asynchronous read could complete,
+    // and a close in the same turn of the event loop, before the read's handler has run, would find neither
+    // unread bytes nor a command.
+    ReadResult read_available() {
         boost::system::error_code failed;
-        const std::size_t size = socket_.read_some(asio::buffer(home_.room_to_read_), failed);
-        if (failed == asio::error::would_block || failed == asio::error::interrupted) return Read::nothing;
-        if (failed) return Read::ended;
-        take_bytes({home_.room_to_read_.data(), size});
-        return Read::some;
+        const std::size_t size = socket_.read_some(asio::buffer(clients_.read_buffer_), failed);
+        if (failed == asio::error::would_block || failed == asio::error::interrupted) return ReadResult::none;
+        if (failed) return ReadResult::closed;
+        handle_bytes({clients_.read_buffer_.data(), size});
+        return ReadResult::some;
     }
 
-    void take_bytes(std::string_view bytes) {
-        if (broken_) { // nothing of it is believed any more; its end is its client's leaving
-            discarded_ += bytes.size();
+    void handle_bytes(std::string_view bytes) {
+        if (discards_input_) {
+            discarded_bytes_ += bytes.size();
             return;
         }
-        home_.busy(*this);
-        since_ = Clock::now();
-        if (!needs_head_)
+        clients_.remove_idle(*this);
+        last_activity_ = Clock::now();
+        if (!awaits_proxy_header_)
             session_.feed(bytes);
-        else if (!take_head(bytes))
+        else if (!read_proxy_header(bytes))
             return;
-        age_ = home_.late(socket_.native_handle(), since_);
-        take_commands();
+        unread_age_ = clients_.unread_age(socket_.native_handle(), last_activity_);
+        handle_commands();
         write();
-        weigh();
+        update_buffered_bytes();
     }
 
-    // The front's header, then whose seat it is. False: more is needed, or it is broken.
-    bool take_head(std::string_view bytes) {
-        head_.append(bytes);
+    // Reads the proxy's PROXY header, then asks for admission of the client that it names. Returns false
+    // while the header is incomplete, and when it is invalid: the connection is then closed.
+    bool read_proxy_header(std::string_view bytes) {
+        proxy_header_bytes_.append(bytes);
         proxy::Header header;
-        const proxy::Scan got = proxy::scan(head_, header);
-        if (got == proxy::Scan::more) return false;
-        if (got == proxy::Scan::bad) {
-            home_.log_(Level::warning, "door: a front's header: ", header.fault);
+        const proxy::Scan scanned = proxy::scan(proxy_header_bytes_, header);
+        if (scanned == proxy::Scan::more) return false;
+        if (scanned == proxy::Scan::bad) {
+            clients_.log_(Level::warning, "admission: invalid PROXY header: ", header.fault);
             close();
             return false;
         }
-        needs_head_ = false;
-        if (header.client && home_.door_) refused_for_ = come_in(*header.client);
-        session_.feed(std::string_view(head_).substr(header.size));
-        head_ = {};
+        awaits_proxy_header_ = false;
+        if (header.client && clients_.connection_limiter_)
+            rejected_retry_after_ = request_admission(*header.client);
+        session_.feed(std::string_view(proxy_header_bytes_).substr(header.size));
+        proxy_header_bytes_ = {};
         return true;
     }
 
-    // After whatever it holds more or less of.
-    void weigh() {
+    // Has to be called after every change of what the session buffers.
+    void update_buffered_bytes() {
         if (closed_) return;
-        const std::size_t now = session_.buffered_bytes() + head_.capacity();
-        home_.held_bytes_ += now - bytes_;
-        bytes_ = now;
+        const std::size_t current = session_.buffered_bytes() + proxy_header_bytes_.capacity();
+        clients_.total_buffered_bytes_ += current - buffered_bytes_;
+        buffered_bytes_ = current;
         if (!session_.has_partial_command())
-            half_since_ = {};
-        else if (half_since_ == Clock::time_point{})
-            half_since_ = Clock::now();
+            partial_command_since_ = {};
+        else if (partial_command_since_ == Clock::time_point{})
+            partial_command_since_ = Clock::now();
     }
 
-    void take_commands() {
-        for (Session::Next got = session_.next(); got != Session::Next::none; got = session_.next()) {
-            if (got == Session::Next::malformed) {
-                broken_ = true;
+    void handle_commands() {
+        for (Session::Next next = session_.next(); next != Session::Next::none; next = session_.next()) {
+            if (next == Session::Next::malformed) {
+                discards_input_ = true;
                 session_.set_reply(session_.add_reply_slot(), "-ERR Protocol error\r\n");
                 return;
             }
-            used_ = true;
-            take(session_.arguments());
+            has_sent_command_ = true;
+            handle_command(session_.arguments());
         }
     }
 
-    // Commands that had no place among those under way. One whose client has left meanwhile goes nowhere: its
-    // effect would be told to nobody.
-    void take_held_back() {
-        if (broken_ || closed_ || !session_.has_partial_command()) return;
-        if (heard(socket_.native_handle()).closed) return leave();
-        take_commands();
+    // Handles commands that waited in the session because too many were in progress. They are dropped when
+    // the client has left meanwhile, as nobody would receive the result of their effect.
+    void handle_deferred_commands() {
+        if (discards_input_ || closed_ || !session_.has_partial_command()) return;
+        if (socket_state(socket_.native_handle()).peer_closed) return handle_disconnect();
+        handle_commands();
     }
 
-    void take(const std::vector<std::string_view> &arguments) {
-        const std::uint64_t place = session_.add_reply_slot();
-        if (refused_for_ > 0) {
-            broken_ = true;
-            return session_.set_reply(place, home_.refusal(arguments, refused_for_));
+    void handle_command(const std::vector<std::string_view> &arguments) {
+        const std::uint64_t slot = session_.add_reply_slot();
+        if (rejected_retry_after_ > 0) {
+            discards_input_ = true;
+            return session_.set_reply(slot, clients_.rejection_reply(arguments, rejected_retry_after_));
         }
-        if (arguments[0] == "PING") return session_.set_reply(place, "+PONG\r\n");
+        if (arguments[0] == "PING") return session_.set_reply(slot, "+PONG\r\n");
         if (arguments[0] != "Q.ASK" && arguments[0] != "Q.DO")
-            return session_.set_reply(place, "-ERR unknown command\r\n");
+            return session_.set_reply(slot, "-ERR unknown command\r\n");
         try {
-            const Request request = parse_request(arguments, home_.start_.names, home_.start_.limits.word);
-            waiting_.emplace_back(place, request.id);
-            if (seated_) home_.door_->rpc_started(guest_);
-            home_.last_rpc_ = Clock::now();
-            home_.handler_.handle_rpc({shared_from_this(), place},
-                                      std::make_shared<const OwnedRequest>(session_.command_bytes(), request),
-                                      age_);
+            const Request request =
+                parse_request(arguments, clients_.start_.names, clients_.start_.limits.word);
+            unanswered_rpcs_.emplace_back(slot, request.id);
+            if (admitted_) clients_.connection_limiter_->rpc_started(limiter_entry_);
+            clients_.last_rpc_at_ = Clock::now();
+            clients_.handler_.handle_rpc(
+                {shared_from_this(), slot},
+                std::make_shared<const OwnedRequest>(session_.command_bytes(), request), unread_age_);
         } catch (const BadInput &bad) {
-            home_.log_(Level::debug, "a bad command: ", bad.what());
-            session_.set_reply(place, std::string("-ERR ") + bad.what() + "\r\n");
+            clients_.log_(Level::debug, "invalid command: ", bad.what());
+            session_.set_reply(slot, std::string("-ERR ") + bad.what() + "\r\n");
         }
     }
 
+    // Starts writing the replies that are ready. Only one write is in progress at a time.
     void write() {
         if (writing_ || closed_) return;
         const auto parts = session_.ready_replies();
         if (parts.empty()) {
-            if (broken_ && !session_.has_pending_replies()) return finish();
-            if (session_.is_idle()) home_.rest(*this);
+            if (discards_input_ && !session_.has_pending_replies()) return start_lingering_close();
+            if (session_.is_idle()) clients_.add_idle(*this);
             return;
         }
         writing_ = true;
-        since_ = Clock::now();
+        last_activity_ = Clock::now();
         std::vector<asio::const_buffer> buffers;
         for (const std::string_view part : parts) buffers.emplace_back(part.data(), part.size());
         asio::async_write(socket_, buffers,
                           [self = shared_from_this()](boost::system::error_code failed, std::size_t) {
                               self->writing_ = false;
-                              if (failed) return self->leave();
+                              if (failed) return self->handle_disconnect();
                               if (self->closed_) return;
                               self->session_.replies_written();
-                              self->since_ = Clock::now();
-                              self->settle();
-                              self->take_held_back();
-                              // Its client would use it again at once, before the next look at idle ones.
-                              if (self->home_.leaving_) self->close_if_idle();
+                              self->last_activity_ = Clock::now();
+                              self->report_written_replies();
+                              self->handle_deferred_commands();
+                              // Without this a busy client would use the connection again before the next
+                              // check for idle connections.
+                              if (self->clients_.shutting_down_) self->close_if_idle();
                               if (self->closed_) return;
-                              self->resume_.cancel();
+                              self->resume_timer_.cancel();
                               self->write();
-                              self->weigh();
+                              self->update_buffered_bytes();
                           });
     }
 
-    // Ends sending, reads on for a while, then closes. Stops bytes that lie unread from making the kernel
-    // reset the connection, and throw away answers that it was given.
-    void finish() {
-        if (std::exchange(finishing_, true)) return;
+    // Shuts down the sending side, keeps reading for a while, then closes. On a close with unread bytes the
+    // kernel would reset the connection and discard replies that it has not delivered yet.
+    void start_lingering_close() {
+        if (std::exchange(lingering_, true)) return;
         boost::system::error_code ignored;
         socket_.shutdown(asio::socket_base::shutdown_send, ignored);
-        linger_.expires_after(home_.start_.limits.linger);
-        linger_.async_wait([self = shared_from_this()](boost::system::error_code failed) {
+        linger_timer_.expires_after(clients_.start_.limits.linger);
+        linger_timer_.async_wait([self = shared_from_this()](boost::system::error_code failed) {
             if (!failed) self->close();
         });
     }
 
-    // What has been written is answered: from then on the connection may go for another.
-    void settle() {
+    // Reports the RPCs whose replies have been written to the limiter. From then on it may evict this
+    // connection.
+    void report_written_replies() {
         if (session_.has_pending_replies() || closed_) return;
-        const auto answered = std::exchange(answered_, {});
-        if (seated_)
-            for (const bool served : answered) home_.door_->rpc_finished(guest_, served, home_.now());
+        const auto outcomes = std::exchange(unwritten_outcomes_, {});
+        if (admitted_)
+            for (const bool served : outcomes)
+                clients_.connection_limiter_->rpc_finished(limiter_entry_, served, clients_.now_ticks());
     }
 
-    // A half-closed client cannot be told from one that has gone: its RPCs end. What it may still read is an
-    // answer for each, so that none is without one.
-    void leave() { close(); }
+    // Ends the RPCs of a client that has closed its side. A half-closed connection cannot be told from one
+    // whose client has gone.
+    void handle_disconnect() { close(); }
 
-    Clients &home_;
+    Clients &clients_;
     asio::ip::tcp::socket socket_;
-    asio::steady_timer resume_, linger_;
+    asio::steady_timer resume_timer_, linger_timer_;
     Session session_;
-    std::vector<std::pair<std::uint64_t, std::string>> waiting_; // places and ids of RPCs without an answer
-    Clock::time_point since_;
-    Span age_{0}; // of what was read last, by then
-    Clock::time_point half_since_{}; // when the command under way began
-    admission::ClientConnection guest_;
-    std::vector<bool> answered_; // RPCs whose answers are not all written: were they served?
-    std::string head_; // of a front, as far as it has come
-    std::size_t bytes_ = 0; // what it holds, as counted among all
-    Ticks refused_for_ = 0; // above 0: its first command is answered so, and it is closed
-    bool writing_ = false, closed_ = false, broken_ = false, used_ = false;
-    bool needs_head_, seated_ = false, finishing_ = false;
-    std::size_t discarded_ = 0; // bytes after those that could not be read
+    std::vector<std::pair<std::uint64_t, std::string>> unanswered_rpcs_; // reply slots and ids
+    Clock::time_point last_activity_;
+    Span unread_age_{0}; // how long the bytes read last had been waiting in the kernel
+    Clock::time_point partial_command_since_{}; // when the incomplete command started
+    admission::ClientConnection limiter_entry_;
+    std::vector<bool> unwritten_outcomes_; // of answered RPCs whose replies are not all written: served?
+    std::string proxy_header_bytes_; // received so far
+    std::size_t buffered_bytes_ = 0; // its part of Clients::total_buffered_bytes_
+    Ticks rejected_retry_after_ = 0; // above 0: the first command is pushed back, then it is closed
+    bool writing_ = false;
+    bool closed_ = false;
+    bool discards_input_ = false; // after malformed input or a rejection
+    bool has_sent_command_ = false;
+    bool awaits_proxy_header_;
+    bool admitted_ = false;
+    bool lingering_ = false;
+    std::size_t discarded_bytes_ = 0; // since discards_input_ was set
 };
 
 Clients::Clients(asio::io_context &io, const Start &start, const Log &log,
-                 admission::DescriptorBudget &ledger, RequestHandler &handler)
-    : io_(io), start_(start), log_(log), ledger_(ledger), handler_(handler), acceptor_(io),
-      room_to_read_(start.limits.read_step), room_(io) {
+                 admission::DescriptorBudget &descriptor_budget, RequestHandler &handler)
+    : io_(io), start_(start), log_(log), descriptor_budget_(descriptor_budget), handler_(handler),
+      acceptor_(io), read_buffer_(start.limits.read_step), accept_timer_(io) {
     set_admission_rules(start.entrance);
 }
 
-Ticks Clients::now() { return std::chrono::floor<Tick>(Clock::now().time_since_epoch()).count(); }
+Ticks Clients::now_ticks() { return std::chrono::floor<Tick>(Clock::now().time_since_epoch()).count(); }
 
-// Those that came in while there was no door have no seat; they go by the older order.
+// Connections that were accepted while there was no limiter stay unknown to it: only close_idle_beyond evicts
+// them.
 void Clients::set_admission_rules(std::shared_ptr<const Entrance> rules) {
-    const auto before = std::exchange(rules_, std::move(rules)); // stands until the door has let go of it
-    if (!rules_) {
-        for (const auto &client : open_) client->unseat();
-        door_.reset();
-    } else if (door_) {
-        door_->set_rules(*rules_);
+    // The previous rules have to live until the limiter no longer refers to them.
+    const auto previous = std::exchange(admission_rules_, std::move(rules));
+    if (!admission_rules_) {
+        for (const auto &connection : connections_) connection->withdraw_from_limiter();
+        connection_limiter_.reset();
+    } else if (connection_limiter_) {
+        connection_limiter_->set_rules(*admission_rules_);
     } else {
-        door_.emplace(*rules_, start_.limits.clients, start_.seed);
+        connection_limiter_.emplace(*admission_rules_, start_.limits.clients, start_.seed);
     }
 }
 
-bool Clients::is_front(const asio::ip::address &from) const {
-    if (!rules_) return false;
+bool Clients::is_trusted_proxy(const asio::ip::address &from) const {
+    if (!admission_rules_) return false;
     const Number number = number_of(from);
-    return std::any_of(rules_->fronts.begin(), rules_->fronts.end(),
-                       [&](const Network &front) { return front.holds(number); });
+    return std::any_of(admission_rules_->fronts.begin(), admission_rules_->fronts.end(),
+                       [&](const Network &proxy) { return proxy.holds(number); });
 }
 
-// What a connection that may not stay is answered. Request whether this router is ready it says so: to be
-// full is not to be down. A time to come back is told where the platform allows it, and no longer.
-std::string Clients::refusal(const std::vector<std::string_view> &arguments, Ticks back) const {
+// Returns the reply to a command on a rejected connection. A PING still succeeds: a full router is not down.
+std::string Clients::rejection_reply(const std::vector<std::string_view> &arguments,
+                                     Ticks retry_after) const {
     if (arguments[0] == "PING") return "+PONG\r\n";
-    return clients::busy_reply(permitted_retry_after(start_.terms, back));
+    return clients::busy_reply(permitted_retry_after(start_.terms, retry_after));
 }
 
-// What goes first where memory is short: buffers of clients that are owed nothing, the largest first. Those
-// that are owed answers are not read from meanwhile (Connection::serve).
-void Clients::shed() {
-    if (!crammed()) return;
+// Where memory is short, closes connections without pending replies, those with the largest buffers first.
+// Connections with pending replies are kept, and are not read from meanwhile (Connection::serve).
+void Clients::close_largest_buffers() {
+    if (!is_short_of_memory()) return;
     std::vector<std::shared_ptr<Connection>> large;
-    for (const auto &client : open_)
-        if (!client->owes()) large.push_back(client);
+    for (const auto &connection : connections_)
+        if (!connection->has_pending_replies()) large.push_back(connection);
     std::sort(large.begin(), large.end(),
-              [](const auto &a, const auto &b) { return a->bytes() > b->bytes(); });
-    std::size_t shed = 0;
-    for (; shed < large.size() && crammed(); ++shed) large[shed]->close();
-    log_(Level::warning, "door: memory of clients short, closed ", shed, ", held KiB ", held_bytes_ / 1024);
+              [](const auto &a, const auto &b) { return a->buffered_bytes() > b->buffered_bytes(); });
+    std::size_t closed = 0;
+    for (; closed < large.size() && is_short_of_memory(); ++closed) large[closed]->close();
+    log_(Level::warning, "admission: client buffers over the memory limit, connections closed ", closed,
+         ", held KiB ", total_buffered_bytes_ / 1024);
 }
 
 void Clients::listen() {
-    if (leaving_) return;
+    if (shutting_down_) return;
     if (acceptor_.is_open()) acceptor_.close();
     acceptor_.open(start_.listen.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
-    // A connection takes a descriptor once its first command is there. Stops those of clients that are late
-    // with it from using them up.
-    acceptor_.set_option(Deferred(static_cast<int>(start_.limits.half_command.count() / 1000)));
+    // A connection takes a descriptor only once its first bytes have arrived, so that clients which connect
+    // and send nothing do not use up the descriptors.
+    acceptor_.set_option(DeferAccept(static_cast<int>(start_.limits.half_command.count() / 1000)));
     acceptor_.bind(start_.listen);
     acceptor_.listen(asio::socket_base::max_listen_connections);
     asio::co_spawn(io_, accept(), detached);
@@ -400,176 +428,190 @@
                 timer.expires_after(start_.limits.sweep);
                 co_await timer.async_wait(use_awaitable);
                 const auto now = Clock::now();
-                const std::vector<std::shared_ptr<Connection>> open(open_.begin(), open_.end());
-                for (const auto &client : open) client->close_if_stuck(now);
-                if (!door_) make_room(start_.limits.kept, open_.size());
-                shed();
+                const std::vector<std::shared_ptr<Connection>> open(connections_.begin(), connections_.end());
+                for (const auto &connection : open) connection->close_if_stalled(now);
+                if (!connection_limiter_) close_idle_beyond(start_.limits.kept, connections_.size());
+                close_largest_buffers();
             }
         },
         detached);
 }
 
-void Clients::answer(const ReplyTarget &reply, std::string bytes) {
-    reply.connection->answer(reply.slot, std::move(bytes));
+void Clients::answer(const ReplyTarget &target, std::string bytes) {
+    target.connection->answer(target.slot, std::move(bytes));
 }
 
-void Clients::begin(asio::ip::tcp::socket socket, const asio::ip::address &from) {
+void Clients::start_connection(asio::ip::tcp::socket socket, const asio::ip::address &from) {
     boost::system::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    socket.non_blocking(true, ignored); // reads never wait
-    const bool behind_front = is_front(from);
-    const auto client = std::make_shared<Connection>(*this, std::move(socket), behind_front);
-    if (door_ && !behind_front)
-        if (const Ticks back = client->come_in(from); back > 0) return client->turn_away(back);
-    open_.insert(client);
-    client->counted =
-        ledger_.acquire(admission::Purpose::clients); // not, where all is taken in to be answered at the end
-    if (!door_) make_room(start_.limits.kept, start_.limits.looked_at);
-    asio::co_spawn(io_, client->serve(), detached);
+    socket.non_blocking(true, ignored); // read_available must not block
+    const bool behind_proxy = is_trusted_proxy(from);
+    const auto connection = std::make_shared<Connection>(*this, std::move(socket), behind_proxy);
+    if (connection_limiter_ && !behind_proxy)
+        if (const Ticks retry_after = connection->request_admission(from); retry_after > 0)
+            return connection->reject(retry_after);
+    connections_.insert(connection);
+    // During shutdown every connection is accepted to be answered, so the budget may be used up here.
+    connection->holds_descriptor = descriptor_budget_.acquire(admission::Purpose::clients);
+    if (!connection_limiter_) close_idle_beyond(start_.limits.kept, start_.limits.looked_at);
+    asio::co_spawn(io_, connection->serve(), detached);
 }
 
-// Takes connections in turns, up to the clients' share of the descriptors; the rest wait in the kernel's
-// queue. Stops a storm of connections from taking those that reach hosts, after which nothing is answered and
-// clients come again for ever. One whose client has given up is closed unread: what it costs has to be less
-// than what a client's next try costs, or the queue only grows.
+// Accepts connections in batches, up to the clients' share of the descriptors; the rest wait in the listen
+// queue. Otherwise a storm of connections would take the descriptors needed to reach hosts, nothing would be
+// answered, and clients would retry forever.
 asio::awaitable<void> Clients::accept() {
     const Limits &limits = start_.limits;
     boost::system::error_code failed;
     acceptor_.non_blocking(true, failed);
     while (acceptor_.is_open()) {
-        if (!door_ && open_.size() >= limits.clients)
-            make_room(limits.clients - limits.accepts, 2 * limits.accepts);
-        // The door has to see who asks: it closes one for each that it lets in beyond its room.
-        const std::size_t kept_back = door_ ? 0 : limits.at_door;
-        const auto full = [&] { return ledger_.available(admission::Purpose::clients) <= kept_back; };
+        if (!connection_limiter_ && connections_.size() >= limits.clients)
+            close_idle_beyond(limits.clients - limits.accepts, 2 * limits.accepts);
+        // The limiter has to see every new connection: it evicts one for each that it admits beyond its
+        // capacity.
+        const std::size_t reserved = connection_limiter_ ? 0 : limits.at_door;
+        const auto full = [&] {
+            return descriptor_budget_.available(admission::Purpose::clients) <= reserved;
+        };
         if (full()) {
-            note_full();
-            room_.expires_after(limits.accept_pause);
-            co_await room_.async_wait(as_tuple(use_awaitable));
+            log_full();
+            accept_timer_.expires_after(limits.accept_pause);
+            co_await accept_timer_.async_wait(as_tuple(use_awaitable));
             continue;
         }
         std::tie(failed) = co_await acceptor_.async_wait(acceptor_.wait_read, as_tuple(use_awaitable));
         if (failed == asio::error::operation_aborted) break;
         bool none = false;
-        for (std::size_t i = 0; i < limits.accepts && !full() && !none; ++i) none = !take_one(failed);
+        for (std::size_t i = 0; i < limits.accepts && !full() && !none; ++i) none = !accept_one(failed);
         if (failed && failed != asio::error::would_block && failed != asio::error::connection_aborted) {
-            log_(Level::warning, "accept: ", failed.message(), ", clients ", open_.size());
+            log_(Level::warning, "accept: ", failed.message(), ", clients ", connections_.size());
             handler_.handle_descriptors_exhausted();
-            make_room(limits.clients, limits.looked_at);
-            room_.expires_after(limits.accept_pause);
-            co_await room_.async_wait(as_tuple(use_awaitable));
+            close_idle_beyond(limits.clients, limits.looked_at);
+            accept_timer_.expires_after(limits.accept_pause);
+            co_await accept_timer_.async_wait(as_tuple(use_awaitable));
         }
-        if (!none) co_await asio::post(io_, use_awaitable); // what was read has its turn
+        if (!none) co_await asio::post(io_, use_awaitable); // lets handlers run between batches
     }
 }
 
-bool Clients::take_one(boost::system::error_code &failed) {
+// A connection whose client has already closed it is closed unread: it has to cost less than the client's
+// next attempt, or the queue would only grow.
+bool Clients::accept_one(boost::system::error_code &failed) {
     asio::ip::tcp::endpoint from;
     auto size = static_cast<socklen_t>(from.capacity());
-    const int taken = ::accept4(acceptor_.native_handle(), from.data(), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    failed = taken < 0 ? boost::system::error_code(errno, boost::system::system_category())
-                       : boost::system::error_code();
-    if (taken < 0) return false;
+    const int descriptor =
+        ::accept4(acceptor_.native_handle(), from.data(), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    failed = descriptor < 0 ? boost::system::error_code(errno, boost::system::system_category())
+                            : boost::system::error_code();
+    if (descriptor < 0) return false;
     from.resize(size);
-    const Heard known = heard(taken);
-    if (known.closed) {
-        ::close(taken);
-        ++given_up_;
+    const SocketState state = socket_state(descriptor);
+    if (state.peer_closed) {
+        ::close(descriptor);
+        ++abandoned_;
         return true;
     }
     asio::ip::tcp::socket socket(io_);
-    socket.assign(start_.listen.protocol(), taken, failed);
+    socket.assign(start_.listen.protocol(), descriptor, failed);
     if (failed)
-        ::close(taken);
+        ::close(descriptor);
     else
-        begin(std::move(socket), from.address());
+        start_connection(std::move(socket), from.address());
     return true;
 }
 
-// How long what was just read has lain unread. Looked up for one read in some while nothing lies, for each
-// once something does: only then does the time a client has left differ from what it told.
-Span Clients::late(int socket, Clock::time_point now) {
-    if (now >= late_until_ && ++reads_ % start_.limits.late_looks != 0) return Span(0);
-    const Span age = heard(socket).age;
+// Returns how long the bytes that were just read had been waiting in the kernel. The time is sampled for one
+// read in `late_looks`, and taken for each read for a while after a delay was seen: only a delay makes the
+// time that a client has left differ from the timeout it sent.
+Span Clients::unread_age(int socket, Clock::time_point now) {
+    if (now >= age_checks_until_ && ++read_count_ % start_.limits.late_looks != 0) return Span(0);
+    const Span age = socket_state(socket).since_last_receive;
     if (age < start_.limits.late_least) return Span(0);
-    late_until_ = now + start_.limits.late_for;
+    age_checks_until_ = now + start_.limits.late_for;
     return age;
 }
 
-void Clients::note_full() {
+void Clients::log_full() {
     const auto now = Clock::now();
-    if (now < full_said_ + start_.limits.sweep) return;
-    full_said_ = now;
-    log_(Level::info, "door: full, clients ", open_.size(), ", closed for having given up ", given_up_);
+    if (now < last_full_log_ + start_.limits.sweep) return;
+    last_full_log_ = now;
+    log_(Level::info, "admission: connection limit reached, clients ", connections_.size(),
+         ", abandoned connections closed ", abandoned_);
 }
 
-void Clients::rest(Connection &client) {
-    if (!client.resting) client.resting = idle_.insert(idle_.end(), &client);
+void Clients::add_idle(Connection &connection) {
+    if (!connection.idle_position)
+        connection.idle_position = idle_connections_.insert(idle_connections_.end(), &connection);
 }
 
-void Clients::busy(Connection &client) {
-    if (client.resting) idle_.erase(*std::exchange(client.resting, std::nullopt));
+void Clients::remove_idle(Connection &connection) {
+    if (connection.idle_position)
+        idle_connections_.erase(*std::exchange(connection.idle_position, std::nullopt));
 }
 
-// Closes those idle longest, until so many connections are left. Stops idle ones, of clients that ask once
-// and stay, from using up the descriptors, which would leave new ones unheard and hosts out of reach. One
-// that has yet to send its first command is left: it may be under way.
-void Clients::make_room(std::size_t most, std::size_t looked_at) {
+// Closes the connections that have been idle longest, until `max_open` are left. Otherwise idle connections
+// of clients that send one command and stay connected would use up the descriptors, so that new connections
+// could not be accepted and hosts not be reached. A connection that has not sent its first command is kept,
+// as the command may be on its way.
+void Clients::close_idle_beyond(std::size_t max_open, std::size_t max_examined) {
     const auto now = Clock::now();
-    std::vector<std::shared_ptr<Connection>> candidates; // apart: a look at one may take it off the list
-    for (auto at = idle_.begin(); at != idle_.end() && looked_at-- > 0; ++at) {
-        Connection &client = **at;
-        if (now - client.since() < start_.limits.rested) break; // its client may be about to use it
-        if (client.used()) candidates.push_back(client.shared_from_this());
+    std::vector<std::shared_ptr<Connection>> candidates; // a copy: close_if_idle changes the list
+    for (auto next = idle_connections_.begin(); next != idle_connections_.end() && max_examined-- > 0;
+         ++next) {
+        Connection &connection = **next;
+        if (now - connection.last_activity() < start_.limits.rested) break; // may be about to be used
+        if (connection.has_sent_command()) candidates.push_back(connection.shared_from_this());
     }
-    for (const auto &client : candidates) {
-        if (open_.size() <= most) return;
-        client->close_if_idle();
+    for (const auto &connection : candidates) {
+        if (connections_.size() <= max_open) return;
+        connection->close_if_idle();
     }
 }
 
-void Clients::close_idle(std::chrono::milliseconds unused_for) {
+void Clients::close_idle(std::chrono::milliseconds max_unused) {
     const auto now = Clock::now();
-    const std::vector<std::shared_ptr<Connection>> open(open_.begin(), open_.end());
-    for (const auto &client : open)
-        if (client->used() || now - client->since() > unused_for) client->close_if_idle();
+    const std::vector<std::shared_ptr<Connection>> open(connections_.begin(), connections_.end());
+    for (const auto &connection : open)
+        if (connection->has_sent_command() || now - connection->last_activity() > max_unused)
+            connection->close_if_idle();
 }
 
 void Clients::shut_down(std::function<void()> done) {
-    if (std::exchange(leaving_, true)) return;
-    // Those held back until their first command is there would be in no queue that the last look reaches.
+    if (std::exchange(shutting_down_, true)) return;
+    // With deferred accepts, connections whose first bytes have not arrived would not be in the listen queue
+    // when it is emptied for the last time.
     boost::system::error_code ignored;
-    if (acceptor_.is_open()) acceptor_.set_option(Deferred(0), ignored);
-    asio::co_spawn(io_, watch_leave(std::move(done)), detached);
+    if (acceptor_.is_open()) acceptor_.set_option(DeferAccept(0), ignored);
+    asio::co_spawn(io_, run_shutdown(std::move(done)), detached);
 }
 
-asio::awaitable<void> Clients::watch_leave(std::function<void()> done) {
+asio::awaitable<void> Clients::run_shutdown(std::function<void()> done) {
     const Limits &limits = start_.limits;
-    const auto began = Clock::now();
-    last_rpc_ = began;
+    const auto started = Clock::now();
+    last_rpc_at_ = started;
     asio::steady_timer timer(io_);
     for (;;) {
         close_idle(limits.leave_unused);
         const auto now = Clock::now();
-        if (now - began >= limits.leave_least && now - last_rpc_ >= limits.leave_quiet) break;
-        if (now - began >= limits.leave_by) break; // whoever comes still is pushed back
+        if (now - started >= limits.leave_least && now - last_rpc_at_ >= limits.leave_quiet) break;
+        if (now - started >= limits.leave_by) break; // further RPCs are pushed back
         timer.expires_after(limits.accept_pause);
         co_await timer.async_wait(use_awaitable);
     }
     boost::system::error_code failed;
-    while (take_one(failed) || (failed != asio::error::would_block && acceptor_.is_open())) {
+    while (accept_one(failed) || (failed != asio::error::would_block && acceptor_.is_open())) {
         if (!failed || failed == asio::error::connection_aborted) continue;
-        // Stops those that wait in the queue from being reset where descriptors have run out. By the time
-        // told all that was taken has its answer, and gives its descriptors back; a little later is still
-        // before the end.
-        if (Clock::now() - began >= limits.leave_by + limits.leave_last) break;
+        // No descriptor is free. Closing the acceptor now would reset the connections in the listen queue, so
+        // wait for descriptors to be released: by `leave_by` every accepted RPC has been answered.
+        // The process may be killed only later than `leave_last` after that.
+        if (Clock::now() - started >= limits.leave_by + limits.leave_last) break;
         handler_.handle_descriptors_exhausted();
         close_idle(Span(0));
         timer.expires_after(limits.accept_pause);
         co_await timer.async_wait(use_awaitable);
     }
     acceptor_.close(failed);
-    while (!open_.empty()) {
+    while (!connections_.empty()) {
         close_idle(limits.leave_unused);
         timer.expires_after(limits.accept_pause);
         co_await timer.async_wait(use_awaitable);
--- a/src/router/clients/clients.hpp
+++ b/src/router/clients/clients.hpp
@@ -1,4 +1,5 @@
-// The driver of clients' connections: accepts, reads, writes. What a command asks goes to the core.
+// Accepts client connections, reads commands from them and writes the replies. RPCs are passed to a
+// RequestHandler. All of it runs on the thread of the io_context.
 #pragma once
 
 #include "admission/connection_limiter.hpp"
@@ -18,77 +19,89 @@
 
 namespace asio = boost::asio;
 
-class Connection; // one connection
+class Connection;
 
-// Where the answer to one command belongs.
+// The connection and the reply slot that the reply to one command belongs to.
 struct ReplyTarget {
     std::shared_ptr<Connection> connection;
     std::uint64_t slot = 0;
 };
 
-// What clients ask for, taken by the core.
+// Receives the RPCs of all clients. Each one is answered by Clients::answer, unless its client leaves before.
 struct RequestHandler {
     virtual ~RequestHandler() = default;
-    // `age`: how long it has lain unread.
-    virtual void handle_rpc(ReplyTarget reply, std::shared_ptr<const OwnedRequest> held, Span age) = 0;
+    // `unread_age`: how long the command had been waiting in the kernel before it was read.
+    virtual void handle_rpc(ReplyTarget target, std::shared_ptr<const OwnedRequest> request,
+                            Span unread_age) = 0;
+    // The connection of the RPC with this id has been closed, by its client or by the router.
     virtual void handle_client_left(const std::string &id) = 0;
-    virtual void handle_descriptors_exhausted() = 0; // no descriptor left: idle ones are to be freed
+    // No descriptor was free for a new connection. The handler should close idle connections of its own.
+    virtual void handle_descriptors_exhausted() = 0;
 };
 
+// Serves the connections of all clients, and closes those that are idle, stalled or hold too much memory.
 class Clients {
   public:
-    // Descriptors are taken from the ledger, which outlives this.
-    Clients(asio::io_context &io, const Start &start, const Log &log, admission::DescriptorBudget &ledger,
-            RequestHandler &handler);
+    // Holds references to all of the arguments, which have to outlive it.
+    Clients(asio::io_context &io, const Start &start, const Log &log,
+            admission::DescriptorBudget &descriptor_budget, RequestHandler &handler);
 
-    void listen(); // throws system_error
-    static void answer(const ReplyTarget &reply, std::string bytes);
+    // Starts accepting. Throws boost::system::system_error where the address cannot be used.
+    void listen();
+    static void answer(const ReplyTarget &target, std::string bytes);
 
-    // Ends service: goes on accepting while connections come, closes each between commands; then calls done.
+    // Starts the graceful shutdown: goes on accepting while RPCs arrive, closes each connection between
+    // commands, and calls `done` once all are closed.
     void shut_down(std::function<void()> done);
-    std::size_t open_connections() const { return open_.size(); }
+    std::size_t open_connections() const { return connections_.size(); }
 
-    // Other rules from now on; those without any keep the door open as it is. Owned together with the caller.
+    // Replaces the admission rules. Null means no rules: connections are accepted while descriptors are
+    // available.
     void set_admission_rules(std::shared_ptr<const Entrance> rules);
-    const admission::ConnectionLimiter *door() const { return door_ ? &*door_ : nullptr; }
+    // Null while there are no rules.
+    const admission::ConnectionLimiter *connection_limiter() const {
+        return connection_limiter_ ? &*connection_limiter_ : nullptr;
+    }
 
   private:
     friend class Connection;
     asio::awaitable<void> accept();
-    asio::awaitable<void> watch_leave(std::function<void()> done);
-    void close_idle(std::chrono::milliseconds unused_for);
-    void make_room(std::size_t most, std::size_t looked_at);
-    bool take_one(boost::system::error_code &failed); // false: nothing was there to take
-    Span late(int socket, std::chrono::steady_clock::time_point now);
-    void note_full();
-    void rest(Connection &client);
-    void busy(Connection &client);
-    void begin(asio::ip::tcp::socket socket, const asio::ip::address &from);
-    bool is_front(const asio::ip::address &from) const;
-    std::string refusal(const std::vector<std::string_view> &arguments, Ticks back) const;
-    void shed();
-    bool crammed() const {
-        return held_bytes_ > start_.limits.memory / 4;
-    } // what buffers of clients may hold
-    static Ticks now();
+    asio::awaitable<void> run_shutdown(std::function<void()> done);
+    void close_idle(std::chrono::milliseconds max_unused);
+    void close_idle_beyond(std::size_t max_open, std::size_t max_examined);
+    bool accept_one(boost::system::error_code &failed); // false: no connection could be accepted
+    Span unread_age(int socket, std::chrono::steady_clock::time_point now);
+    void log_full();
+    void add_idle(Connection &connection);
+    void remove_idle(Connection &connection);
+    void start_connection(asio::ip::tcp::socket socket, const asio::ip::address &from);
+    bool is_trusted_proxy(const asio::ip::address &from) const;
+    std::string rejection_reply(const std::vector<std::string_view> &arguments, Ticks retry_after) const;
+    void close_largest_buffers();
+    // Buffers of clients may hold a quarter of the memory.
+    bool is_short_of_memory() const { return total_buffered_bytes_ > start_.limits.memory / 4; }
+    static Ticks now_ticks();
 
     asio::io_context &io_;
     const Start &start_;
     const Log &log_;
-    admission::DescriptorBudget &ledger_;
+    admission::DescriptorBudget &descriptor_budget_;
     RequestHandler &handler_;
     asio::ip::tcp::acceptor acceptor_;
-    std::shared_ptr<const Entrance> rules_; // none: whoever finds room comes in
-    std::optional<admission::ConnectionLimiter> door_; // looks at the rules
-    std::vector<char> room_to_read_; // for one read at a time, of whichever client
-    std::size_t held_bytes_ = 0; // of all clients
-    std::unordered_set<std::shared_ptr<Connection>> open_;
-    std::list<Connection *> idle_; // of them, the one idle longest first
-    std::chrono::steady_clock::time_point last_rpc_{}; // when it came
-    asio::steady_timer room_; // ends early when a connection has closed
-    std::chrono::steady_clock::time_point late_until_{}, full_said_{};
-    std::uint64_t reads_ = 0, given_up_ = 0;
-    bool leaving_ = false;
+    std::shared_ptr<const Entrance> admission_rules_; // null: no rules
+    std::optional<admission::ConnectionLimiter> connection_limiter_; // refers to admission_rules_
+    std::vector<char> read_buffer_; // shared by all connections: it is emptied within each read
+    std::size_t total_buffered_bytes_ = 0; // of all connections
+    std::unordered_set<std::shared_ptr<Connection>> connections_;
+    std::list<Connection *> idle_connections_; // the one idle longest first
+    std::chrono::steady_clock::time_point last_rpc_at_{};
+    asio::steady_timer accept_timer_; // cancelled when a connection closes
+    std::chrono::steady_clock::time_point
+        age_checks_until_{}; // until then the age of each read is determined
+    std::chrono::steady_clock::time_point last_full_log_{};
+    std::uint64_t read_count_ = 0;
+    std::uint64_t abandoned_ = 0; // connections that their clients had closed before they were accepted
+    bool shutting_down_ = false;
 };
 
 } // namespace pineridge::router::clients
--- a/src/router/clients/request.cpp
+++ b/src/router/clients/request.cpp
@@ -8,36 +8,37 @@
 
 namespace {
 
-double number_of(std::string_view value, const char *name) {
-    double read = 0;
-    const auto got = std::from_chars(value.data(), value.data() + value.size(), read);
-    if (got.ec != std::errc{} || got.ptr != value.data() + value.size()) wrong(name, "not a number");
-    if (!(read >= 0 && read <= 1e8)) wrong(name, "out of range");
-    return read;
+double parse_number(std::string_view value, const char *name) {
+    double number = 0;
+    const auto parsed = std::from_chars(value.data(), value.data() + value.size(), number);
+    if (parsed.ec != std::errc{} || parsed.ptr != value.data() + value.size()) wrong(name, "not a number");
+    if (!(number >= 0 && number <= 1e8)) wrong(name, "out of range");
+    return number;
 }
 
-// A word that stands between blanks and commas elsewhere, and is kept for as long as its RPC.
-void check_word(std::string_view word, const char *name, std::size_t most) {
-    if (word.empty() || word.size() > most) wrong(name, "empty or too long");
-    const auto odd = [](unsigned char c) { return c <= ' ' || c >= 127; };
-    if (std::any_of(word.begin(), word.end(), odd)) wrong(name, "holds odd characters");
+// Requires a printable token: it is written elsewhere between blanks and commas. Its size is bounded because
+// it is stored for the lifetime of its RPC.
+void check_token(std::string_view token, const char *name, std::size_t max_size) {
+    if (token.empty() || token.size() > max_size) wrong(name, "empty or too long");
+    const auto not_printable = [](unsigned char c) { return c <= ' ' || c >= 127; };
+    if (std::any_of(token.begin(), token.end(), not_printable)) wrong(name, "holds odd characters");
 }
 
-void take_field(std::string_view name, std::string_view value, const Names &names, Request &request) {
+void parse_field(std::string_view name, std::string_view value, const Names &names, Request &request) {
     if (name == "c") {
         request.method = place_of(names.methods, std::string(value), "c");
     } else if (name == "t") {
         if (!names.tenants.empty()) request.tenant = place_of(names.tenants, std::string(value), "t");
     } else if (name == "d") {
-        request.timeout = ticks_down(number_of(value, "d") / 1000);
+        request.timeout = ticks_down(parse_number(value, "d") / 1000);
         request.timeout_digits = value;
     } else if (name == "r") {
         if (value != "0" && value != "1") wrong("r", "neither 0 nor 1");
         request.retry = value == "1";
     } else if (name == "h") {
-        request.work_estimate = ticks_down(number_of(value, "h") / 1e6);
+        request.work_estimate = ticks_down(parse_number(value, "h") / 1e6);
     } else if (name == "k") {
-        check_word(value, "k", value.size());
+        check_token(value, "k", value.size());
     } else {
         wrong("names", "one that no client sends");
     }
@@ -45,63 +46,70 @@
 
 } // namespace
 
-Request parse_request(const std::vector<std::string_view> &arguments, const Names &names, std::size_t most) {
+Request parse_request(const std::vector<std::string_view> &arguments, const Names &names,
+                      std::size_t max_size) {
     if (arguments.size() < 4 || arguments.size() > 5) wrong("command", "not a key, an id, names and a body");
     Request request{};
     request.key = arguments[1];
     request.id = arguments[2];
     request.fields = arguments[3];
-    check_word(request.id, "id", most);
-    if (!request.key.empty()) check_word(request.key, "key", most);
-    std::vector<std::string_view> seen;
+    check_token(request.id, "id", max_size);
+    if (!request.key.empty()) check_token(request.key, "key", max_size);
+    std::vector<std::string_view> seen_names;
     for (std::string_view rest = request.fields; !rest.empty();) {
         const std::string_view field = rest.substr(0, rest.find(','));
         rest.remove_prefix(std::min(rest.size(), field.size() + 1));
         const std::size_t equals = field.find('=');
         if (equals == std::string_view::npos || equals == 0) wrong("names", "not a list of names and values");
         const std::string_view name = field.substr(0, equals);
-        if (std::find(seen.begin(), seen.end(), name) != seen.end()) wrong(std::string(name), "repeated");
-        seen.push_back(name);
-        take_field(name, field.substr(equals + 1), names, request);
+        if (std::find(seen_names.begin(), seen_names.end(), name) != seen_names.end())
+            wrong(std::string(name), "repeated");
+        seen_names.push_back(name);
+        parse_field(name, field.substr(equals + 1), names, request);
     }
     for (const std::string_view needed : {"c", "d"})
-        if (std::find(seen.begin(), seen.end(), needed) == seen.end()) wrong(std::string(needed), "missing");
-    if (!names.tenants.empty() && std::find(seen.begin(), seen.end(), "t") == seen.end())
+        if (std::find(seen_names.begin(), seen_names.end(), needed) == seen_names.end())
+            wrong(std::string(needed), "missing");
+    if (!names.tenants.empty() && std::find(seen_names.begin(), seen_names.end(), "t") == seen_names.end())
         wrong("t", "missing");
-    // A host takes the other command, or a body that does not belong, for bytes that it cannot read.
-    const bool asks = arguments[0] == "Q.ASK";
-    if (asks != names.idempotent.at(request.method)) wrong("c", "not for this command");
-    if (asks && arguments.size() > 4) wrong("body", "not for this command");
+    // A host treats a command that does not suit the method, or a body that does not belong to the command,
+    // as malformed input.
+    const bool is_ask = arguments[0] == "Q.ASK";
+    if (is_ask != names.idempotent.at(request.method)) wrong("c", "not for this command");
+    if (is_ask && arguments.size() > 4) wrong("body", "not for this command");
     return request;
 }
 
-std::string busy_reply(Ticks back) {
-    return back > 0 ? "-BUSY " + std::to_string((back + 9) / 10) + "\r\n" : "-BUSY\r\n";
+std::string busy_reply(Ticks retry_after) {
+    return retry_after > 0 ? "-BUSY " + std::to_string((retry_after + 9) / 10) + "\r\n" : "-BUSY\r\n";
 }
 
-Ticks permitted_retry_after(const DeploymentConfig &terms, Ticks back) {
-    return terms.advise_retry_after ? std::min(back, terms.max_retry_after) : 0;
+Ticks permitted_retry_after(const DeploymentConfig &terms, Ticks retry_after) {
+    return terms.advise_retry_after ? std::min(retry_after, terms.max_retry_after) : 0;
 }
 
-OwnedRequest::OwnedRequest(std::string_view bytes, const Request &read) : command(bytes), request(read) {
+OwnedRequest::OwnedRequest(std::string_view bytes, const Request &parsed) : command(bytes), request(parsed) {
     for (std::string_view *view : {&request.id, &request.key, &request.fields, &request.timeout_digits})
         *view = std::string_view(command).substr(view->data() - bytes.data(), view->size());
 }
 
-void encode_with_timeout(const OwnedRequest &held, Ticks timeout, EncodedRequest &into) {
-    const std::string_view command = held.command;
-    const Request &request = held.request;
-    const long whole = std::max<long>(1, static_cast<long>((timeout + 9) / 10));
-    const int digits = std::snprintf(into.timeout_digits.data(), into.timeout_digits.size(), "%ld", whole);
-    const std::size_t length = request.fields.size() - request.timeout_digits.size() + digits;
-    const int size = std::snprintf(into.length_header.data(), into.length_header.size(), "$%zu\r\n", length);
-    const std::size_t names_at = request.fields.data() - command.data();
-    const std::size_t time_at = request.timeout_digits.data() - command.data();
-    const std::size_t head_at = command.rfind('$', names_at - 1); // the size of the list of names
-    const std::size_t time_end = time_at + request.timeout_digits.size();
-    into.parts = {command.substr(0, head_at), std::string_view(into.length_header.data(), size),
-                  command.substr(names_at, time_at - names_at),
-                  std::string_view(into.timeout_digits.data(), digits), command.substr(time_end)};
+void encode_with_timeout(const OwnedRequest &source, Ticks timeout, EncodedRequest &encoded) {
+    const std::string_view command = source.command;
+    const Request &request = source.request;
+    const long timeout_ms = std::max<long>(1, static_cast<long>((timeout + 9) / 10));
+    const int digit_count =
+        std::snprintf(encoded.timeout_digits.data(), encoded.timeout_digits.size(), "%ld", timeout_ms);
+    const std::size_t fields_size = request.fields.size() - request.timeout_digits.size() + digit_count;
+    const int header_size =
+        std::snprintf(encoded.length_header.data(), encoded.length_header.size(), "$%zu\r\n", fields_size);
+    const std::size_t fields_at = request.fields.data() - command.data();
+    const std::size_t digits_at = request.timeout_digits.data() - command.data();
+    const std::size_t header_at = command.rfind('$', fields_at - 1); // the length line of the fields
+    const std::size_t digits_end = digits_at + request.timeout_digits.size();
+    encoded.parts = {
+        command.substr(0, header_at), std::string_view(encoded.length_header.data(), header_size),
+        command.substr(fields_at, digits_at - fields_at),
+        std::string_view(encoded.timeout_digits.data(), digit_count), command.substr(digits_end)};
 }
 
 } // namespace pineridge::router::clients
--- a/src/router/clients/request.hpp
+++ b/src/router/clients/request.hpp
@@ -1,4 +1,4 @@
-// A client's command, read in place.
+// Parses a client's command in place, and encodes it for a host with the time that remains of its timeout.
 #pragma once
 
 #include "router/start.hpp"
@@ -8,40 +8,42 @@
 
 namespace pineridge::router::clients {
 
-// An RPC as its client put it. The views lie in the command's own bytes.
+// An RPC as its client sent it. The views point into the bytes of the command.
 struct Request {
     std::string_view id, key;
     int method = 0;
     int tenant = 0;
-    Ticks timeout = 0; // counted from when the client sent it
+    Ticks timeout = 0; // runs from when the client sent the command
     bool retry = false;
-    Ticks work_estimate = 0; // its work as the client guesses it; 0: no guess
-    std::string_view fields; // the list of names and values, whole
-    std::string_view timeout_digits; // the digits of its time, within the list
+    Ticks work_estimate = 0; // the client's estimate of its work; 0: none
+    std::string_view fields; // the whole list of names and values
+    std::string_view timeout_digits; // the digits of the timeout within `fields`
 };
 
-// A command kept for as long as anything may still be written of it.
+// A request that owns the bytes of its command. It lives as long as any of them may still be written.
 struct OwnedRequest {
-    OwnedRequest(std::string_view bytes, const Request &read);
+    OwnedRequest(std::string_view bytes, const Request &parsed);
     OwnedRequest(const OwnedRequest &) = delete;
     std::string command;
-    Request request; // its views lie in the command
+    Request request; // its views point into `command`
 };
 
-// Throws BadInput for what no client should send; `most` bounds its id and its key.
-Request parse_request(const std::vector<std::string_view> &arguments, const Names &names, std::size_t most);
+// Throws BadInput, which names the faulty field. `max_size` bounds the id and the key, in bytes.
+Request parse_request(const std::vector<std::string_view> &arguments, const Names &names,
+                      std::size_t max_size);
 
-// The answer to what is pushed back; `back`: when to come again, 0 where nothing is told of it.
-std::string busy_reply(Ticks back);
-// What may be told of a time to come back: nothing where the platform does not allow it, and no longer time
-// than it allows.
-Ticks permitted_retry_after(const DeploymentConfig &terms, Ticks back);
+// Returns the reply for an RPC that is pushed back, with the time to retry after in ms; 0: without a time.
+std::string busy_reply(Ticks retry_after);
+// Returns the retry-after time that may be sent to a client: 0 where the platform forbids sending one, else
+// at most the platform's maximum.
+Ticks permitted_retry_after(const DeploymentConfig &terms, Ticks retry_after);
 
-// The command once more with another time, as views into it and into the scratch.
+// A command encoded with another timeout. The parts are views into the original command and into the two
+// arrays here, so both have to outlive them.
 struct EncodedRequest {
     std::array<char, 48> length_header, timeout_digits;
     std::array<std::string_view, 5> parts;
 };
-void encode_with_timeout(const OwnedRequest &held, Ticks timeout, EncodedRequest &into);
+void encode_with_timeout(const OwnedRequest &source, Ticks timeout, EncodedRequest &encoded);
 
 } // namespace pineridge::router::clients
--- a/src/router/clients/session.cpp
+++ b/src/router/clients/session.cpp
@@ -3,8 +3,8 @@
 namespace pineridge::router::clients {
 
 Session::Next Session::next() {
-    unread_.erase(0, used_);
-    used_ = 0;
+    unread_.erase(0, command_size_);
+    command_size_ = 0;
     arguments_.clear();
     if (unread_.empty()) {
         if (unread_.capacity() > limits_.read_step) unread_.shrink_to_fit();
@@ -12,24 +12,24 @@
     }
     if (!accepts_input()) return Next::none;
     const resp::Bounds bounds{limits_.value, limits_.words, 1, limits_.line};
-    const resp::Scan got = resp::scan(unread_, bounds, value_);
-    if (got == resp::Scan::more) return unread_.size() > limits_.command ? Next::malformed : Next::none;
-    if (got == resp::Scan::bad || value_.kind != resp::Kind::array || value_.items.empty())
+    const resp::Scan scanned = resp::scan(unread_, bounds, value_);
+    if (scanned == resp::Scan::more) return unread_.size() > limits_.command ? Next::malformed : Next::none;
+    if (scanned == resp::Scan::bad || value_.kind != resp::Kind::array || value_.items.empty())
         return Next::malformed;
     for (const resp::Value &item : value_.items) {
         if (item.kind != resp::Kind::bulk) return Next::malformed;
         arguments_.push_back(item.body);
     }
-    used_ = value_.raw.size();
+    command_size_ = value_.raw.size();
     return Next::command;
 }
 
 void Session::set_reply(std::uint64_t slot, std::string bytes) {
-    Slot &at = slots_.at(slot - first_);
-    if (at.answered) return;
-    at.answered = true;
-    unsent_ += bytes.size();
-    at.bytes = std::move(bytes);
+    Slot &target = slots_.at(slot - first_slot_);
+    if (target.answered) return;
+    target.answered = true;
+    unsent_bytes_ += bytes.size();
+    target.bytes = std::move(bytes);
 }
 
 std::vector<std::string_view> Session::ready_replies() {
@@ -44,9 +44,9 @@
 
 void Session::replies_written() {
     for (; writing_ > 0; --writing_) {
-        unsent_ -= slots_.front().bytes.size();
+        unsent_bytes_ -= slots_.front().bytes.size();
         slots_.pop_front();
-        ++first_;
+        ++first_slot_;
     }
 }
 
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -453,7 +453,7 @@
          {admission::RefusalReason::crowd_limit, admission::RefusalReason::address_limit,
           admission::RefusalReason::network_limit, admission::RefusalReason::open_rate_limit,
           admission::RefusalReason::no_capacity})
-        refused += clients_.door()->refusals(reason);
+        refused += clients_.connection_limiter()->refusals(reason);
     std::uint64_t held = 0;
     for (const admission::PushbackReason reason :
          {admission::PushbackReason::quota, admission::PushbackReason::retry_budget,
@@ -461,11 +461,12 @@
         held += counter_->pushbacks(reason);
     if (refused == said_refused_ && held == said_held_) return;
     log_(Level::info, "door: ", entrance_->observe ? "would have refused" : "refused", " connections ",
-         refused - said_refused_, ", made way ", clients_.door()->evictions(), ", pushed back by quota ",
-         counter_->pushbacks(admission::PushbackReason::quota), ", as retries ",
+         refused - said_refused_, ", made way ", clients_.connection_limiter()->evictions(),
+         ", pushed back by quota ", counter_->pushbacks(admission::PushbackReason::quota), ", as retries ",
          counter_->pushbacks(admission::PushbackReason::retry_budget), ", late ",
          counter_->pushbacks(admission::PushbackReason::lateness), ", under way ", counter_->in_flight(),
-         ", clients ", clients_.door()->open_connections(), ", addresses ", clients_.door()->source_count());
+         ", clients ", clients_.connection_limiter()->open_connections(), ", addresses ",
+         clients_.connection_limiter()->source_count());
     said_refused_ = refused;
     said_held_ = held;
 }
--- a/tests/admission/flood_test.cpp
+++ b/tests/admission/flood_test.cpp
@@ -175,7 +175,7 @@
                     {Manner::asks, 0x7f080001, 1, 1, 0, "PROXY TCP9 \r\n", kDrip, kPause});
     malformed.begin();
     fixture.until([&] { return malformed.seen().ended >= 3; });
-    assert(fixture.router.has_logged("a front's header: version 1: neither TCP4"));
+    assert(fixture.router.has_logged("invalid PROXY header: version 1: neither TCP4"));
     malformed.stop();
 }
 
@@ -224,7 +224,9 @@
     Fixture fixture(R"(<others/><crowd name="desks" reserve="20"><network address="127.0.0.1/32"/></crowd>)");
     Flood flood(fixture.io, fixture.town.listen, {Manner::swells, 0x7f070001, 100, 1, 100});
     flood.begin();
-    fixture.until([&] { return fixture.router.has_logged("memory of clients short, closed"); });
+    fixture.until([&] {
+        return fixture.router.has_logged("client buffers over the memory limit, connections closed");
+    });
     fixture.send_rpcs(60);
     assert(fixture.served_share() >= 0.95 && flood.seen().ended > 0 && flood.seen().ended < 100);
     flood.stop();
--- a/tests/owed_test.cpp
+++ b/tests/owed_test.cpp
@@ -1,5 +1,5 @@
-// What ends something, at the instant in which something is still owed: real connections on loopback, the bad
-// order forced by events.
+// Tests that ending a connection, an RPC, a host or the process loses no reply and sends no withdrawn
+// command. Real connections on loopback; the order of events that used to fail is forced.
 #include "one_router.hpp"
 
 #include <sys/resource.h>
@@ -9,31 +9,33 @@
 
 namespace {
 
-// A host that is slow to take connections: its queue is full until the test opens it, so that a dial hangs.
-struct SlowDoor {
-    explicit SlowDoor(asio::io_context &io) : io(io), fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
-        sockaddr_in at{};
-        at.sin_family = AF_INET;
-        at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        socklen_t size = sizeof at;
-        assert(::bind(fd, reinterpret_cast<sockaddr *>(&at), size) == 0 && ::listen(fd, 0) == 0);
-        assert(::getsockname(fd, reinterpret_cast<sockaddr *>(&at), &size) == 0);
-        port = ntohs(at.sin_port);
+// A host that does not accept connections at first: its listen queue is full until the test opens it, so that
+// connection attempts hang.
+struct BlockedHost {
+    explicit BlockedHost(asio::io_context &io)
+        : io(io), fd(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
+        sockaddr_in endpoint{};
+        endpoint.sin_family = AF_INET;
+        endpoint.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        socklen_t size = sizeof endpoint;
+        assert(::bind(fd, reinterpret_cast<sockaddr *>(&endpoint), size) == 0 && ::listen(fd, 0) == 0);
+        assert(::getsockname(fd, reinterpret_cast<sockaddr *>(&endpoint), &size) == 0);
+        port = ntohs(endpoint.sin_port);
         filler.connect({asio::ip::address_v4::loopback(), port});
     }
-    ~SlowDoor() { ::close(fd); }
+    ~BlockedHost() { ::close(fd); }
 
     std::string address() const { return "127.0.0.1:" + std::to_string(port); }
-    // Connections that have asked for one here and have no answer yet.
-    int hanging() const {
+    // Counts the connection attempts to this host that are in progress (state SYN_SENT).
+    int pending_connects() const {
         std::ifstream table("/proc/net/tcp");
-        char wanted[32];
-        std::snprintf(wanted, sizeof wanted, "0100007F:%04X 02", port);
-        int found = 0;
-        for (std::string line; std::getline(table, line);) found += line.find(wanted) != std::string::npos;
-        return found;
+        char pattern[32];
+        std::snprintf(pattern, sizeof pattern, "0100007F:%04X 02", port);
+        int count = 0;
+        for (std::string line; std::getline(table, line);) count += line.find(pattern) != std::string::npos;
+        return count;
     }
-    // From now on takes all; what they send is heard and answered as a host does.
+    // From now on all connections are accepted and commands are answered as a host does.
     void open() {
         acceptor.emplace(io, tcp::v4(), fd);
         fd = ::dup(fd);
@@ -45,20 +47,22 @@
         for (;;) {
             auto [failed, socket] = co_await acceptor->async_accept(as_tuple(use_awaitable));
             if (failed) co_return;
-            ++taken;
+            ++accepted;
             asio::co_spawn(io, serve(std::move(socket)), asio::detached);
         }
     }
     asio::awaitable<void> serve(tcp::socket socket) {
-        std::string heard, room(4096, '\0');
+        std::string received;
+        std::string buffer(4096, '\0');
         for (;;) {
             const auto [failed, size] =
-                co_await socket.async_read_some(asio::buffer(room), as_tuple(use_awaitable));
+                co_await socket.async_read_some(asio::buffer(buffer), as_tuple(use_awaitable));
             if (failed) break;
-            sent.append(room, 0, size), heard.append(room, 0, size);
-            const std::string reply = host_answer(heard);
+            sent.append(buffer, 0, size);
+            received.append(buffer, 0, size);
+            const std::string reply = host_answer(received);
             if (reply.empty()) continue;
-            heard.clear();
+            received.clear();
             co_await asio::async_write(socket, asio::buffer(reply), as_tuple(use_awaitable));
         }
         ++ended;
@@ -71,65 +75,68 @@
     tcp::socket filler{io};
     std::optional<tcp::acceptor> acceptor;
     std::string sent;
-    int taken = 0, ended = 0; // connections, with the one that filled the queue
+    int accepted = 0; // connections, with the one that filled the queue
+    int ended = 0;
 };
 
+// Returns once the router has answered a PING: by then it has handled what had reached it before.
 void ping(Town &town) {
-    tcp::socket other = client_of(town);
-    asio::write(other, asio::buffer("*1\r\n" + bulk("PING")));
-    town.until([&] { return other.available() >= 7; });
+    tcp::socket client = client_of(town);
+    asio::write(client, asio::buffer("*1\r\n" + bulk("PING")));
+    town.until([&] { return client.available() >= 7; });
 }
 
-std::string read_all(Town &town, tcp::socket &client, std::size_t wanted) {
-    std::string got(16384, '\0');
+std::string read_at_least(Town &town, tcp::socket &client, std::size_t min_size) {
+    std::string received(16384, '\0');
     std::size_t size = 0;
     client.non_blocking(true);
     town.until([&] {
-        boost::system::error_code none;
-        size += client.read_some(asio::buffer(&got[size], got.size() - size), none);
-        return size >= wanted;
+        boost::system::error_code ignored;
+        size += client.read_some(asio::buffer(&received[size], received.size() - size), ignored);
+        return size >= min_size;
     });
-    return got.substr(0, size);
+    return received.substr(0, size);
 }
 
-// A fleet's router opens nothing unasked, and may not cancel: what it has sent stays sent.
-void of_a_fleet(Town &town) {
+// Configures a router of a large fleet: it opens no connections to hosts before they are needed, and may not
+// cancel a command that it has sent.
+void configure_large_fleet(Town &town) {
     town.told["settings"]["instances"] = 300;
     town.told["settings"]["permissions"]["cancel"] = false;
     town.told["settings"]["permissions"]["connectTimeout"] = 5;
 }
 
-// Its client leaves while the connection to the host is still coming up: nothing of it has left, nothing
-// does.
-void what_waits_for_a_connection_is_not_sent_for_a_client_that_left() {
+// The client leaves while the connection to the host is being established: its command is not sent
+// afterwards.
+void a_pick_that_waits_for_a_connection_is_not_sent_after_its_client_left() {
     Town town;
-    SlowDoor door(town.io);
-    of_a_fleet(town);
-    town.told["known"]["servers"] = json::array({entry("s", door.address())});
+    BlockedHost host(town.io);
+    configure_large_fleet(town);
+    town.told["known"]["servers"] = json::array({entry("s", host.address())});
     town.keep_watches_silent();
     town.write(town.told.dump());
     town.serve();
     tcp::socket client = client_of(town);
     asio::write(client, asio::buffer(ask("id-one")));
-    town.until([&] { return door.hanging() > 0; });
+    town.until([&] { return host.pending_connects() > 0; });
     client.close();
-    ping(town); // the leaving has been read
-    tcp::socket other = client_of(town);
-    asio::write(other, asio::buffer(ask("id-two")));
+    ping(town); // the close has been noticed by now
+    tcp::socket later_client = client_of(town);
+    asio::write(later_client, asio::buffer(ask("id-two")));
     ping(town);
-    door.open();
-    assert(read_all(town, other, bulk("id-two").size()) == bulk("id-two"));
-    assert(!door.was_sent("id-one"));
+    host.open();
+    assert(read_at_least(town, later_client, bulk("id-two").size()) == bulk("id-two"));
+    assert(!host.was_sent("id-one"));
 }
 
-// Those that another host has answered meanwhile are not sent once the connection is up.
-void what_waits_for_a_connection_is_not_sent_after_the_answer() {
+// A pick whose RPC another host has answered meanwhile is not sent once the connection is established.
+void a_pick_that_waits_for_a_connection_is_not_sent_after_the_reply() {
     Town town;
-    SlowDoor door(town.io);
-    of_a_fleet(town);
+    BlockedHost host(town.io);
+    configure_large_fleet(town);
     town.told["settings"]["permissions"]["secondCopies"] = true;
     town.told["known"]["servers"] =
-        json::array({entry("s", door.address()), entry("t", town.host.address())});
+        json::array({entry("s", host.address()), entry("t", town.host.address())});
     town.keep_watches_silent();
     town.host.answer = host_answer;
     town.write(town.told.dump());
@@ -139,28 +146,28 @@
         clients.push_back(client_of(town));
         asio::write(clients.back(), asio::buffer(ask("id-f" + std::to_string(i) + "a")));
     }
-    for (tcp::socket &client : clients) read_all(town, client, bulk("id-f0a").size());
-    assert(door.hanging() > 0); // some had gone there first
-    door.open();
-    town.until([&] { return door.hanging() == 0; });
+    for (tcp::socket &client : clients) read_at_least(town, client, bulk("id-f0a").size());
+    assert(host.pending_connects() > 0); // some were picked for the blocked host first
+    host.open();
+    town.until([&] { return host.pending_connects() == 0; });
     tcp::socket late = client_of(town);
-    for (int i = 0; !door.was_sent("id-l"); ++i) {
+    for (int i = 0; !host.was_sent("id-l"); ++i) {
         const std::string id = std::string("id-l") + char('a' + i / 26 % 26) + char('a' + i % 26);
         asio::write(late, asio::buffer(ask(id)));
-        read_all(town, late, bulk(id).size());
+        read_at_least(town, late, bulk(id).size());
     }
-    assert(!door.was_sent("id-f"));
+    assert(!host.was_sent("id-f"));
 }
 
-json changed_to(Town &town, const char *state, int version) {
+json list_with_state(Town &town, const char *state, int version) {
     json list = town.whole_list(version);
     list["servers"][0]["state"] = state;
     return list;
 }
 
-// Lists are pushed to an agent beside the router: what it has counts before the first client comes, however
+// Lists are pushed to an agent beside the router: the router uses its list before the first client, however
 // many routers there are.
-void an_agent_is_heard_before_the_first_client() {
+void the_list_of_a_local_agent_is_used_before_the_first_client() {
     Town town;
     town.told["settings"]["instances"] = 300;
     town.told["settings"]["membershipMode"] = "push";
@@ -169,70 +176,74 @@
     town.serve();
     town.until([&] { return town.list.was_sent("/v1/endpoints"); });
     assert(!town.has_logged("serving"));
-    town.list.say(sized(changed_to(town, "terminating", 7).dump()));
+    town.list.say(sized(list_with_state(town, "terminating", 7).dump()));
     tcp::socket client = client_of(town);
     asio::write(client, asio::buffer(ask("id-one")));
     town.until([&] { return client.available() > 0; });
     assert(town.host.taken == 0);
-    // A failed call of it is tried again at once, not in a fleet's turn.
-    const int calls = town.list.taken;
-    const auto began = std::chrono::steady_clock::now();
+    // A failed call to the agent is retried at once, without the delays that spread a fleet's calls.
+    const int calls_before = town.list.taken;
+    const auto started = std::chrono::steady_clock::now();
     town.list.answer = [&](const std::string &) { return "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"; };
     town.list.say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-    town.until([&] { return town.list.taken >= calls + 4; });
-    assert(std::chrono::steady_clock::now() - began < std::chrono::seconds(2));
+    town.until([&] { return town.list.taken >= calls_before + 4; });
+    assert(std::chrono::steady_clock::now() - started < std::chrono::seconds(2));
 }
 
-// Watches wait for times of their own, so that those opened together do not end together.
-void watches_wait_for_times_of_their_own() {
+// Each watch gets a hold time of its own, so that watches opened together do not end together.
+void watches_have_different_hold_times() {
     Town town;
-    std::set<int> waits;
+    std::set<int> hold_times_ms;
     int version = 7;
-    town.list.answer = [&](const std::string &heard) {
-        const std::size_t hold = heard.find("hold_ms=");
-        if (asks_at_once(heard)) return sized(town.whole_list(version).dump());
-        const int wait = std::stoi(heard.substr(hold + 8));
-        assert(wait >= 10000 && wait <= 20000);
-        waits.insert(wait);
-        return waits.size() < 20 ? sized(town.whole_list(++version).dump()) : "";
+    town.list.answer = [&](const std::string &received) {
+        const std::size_t hold_at = received.find("hold_ms=");
+        if (asks_at_once(received)) return sized(town.whole_list(version).dump());
+        const int hold_ms = std::stoi(received.substr(hold_at + 8));
+        assert(hold_ms >= 10000 && hold_ms <= 20000);
+        hold_times_ms.insert(hold_ms);
+        return hold_times_ms.size() < 20 ? sized(town.whole_list(++version).dump()) : "";
     };
     town.serve();
-    town.until([&] { return waits.size() == 20; });
-    assert(*waits.rbegin() - *waits.begin() > 3000);
+    town.until([&] { return hold_times_ms.size() == 20; });
+    assert(*hold_times_ms.rbegin() - *hold_times_ms.begin() > 3000);
 }
 
-// A silent watch is opened anew, in vain: from when what it missed counts as told nothing is sent, and again
-// once the list has come. The call is not left to a fleet's turn meanwhile.
-void nothing_is_sent_while_the_list_is_overdue() {
+// A silent watch is opened again without success. No RPC is sent from the time at which the missed changes
+// count as delivered until a list has arrived. Meanwhile the call is retried without the delays that spread a
+// fleet's calls.
+void no_rpc_is_sent_while_the_list_is_overdue() {
     Town town;
     town.told["settings"]["instances"] = 300;
     town.write(town.told.dump());
     town.start = read_start_file(town.path, town.environment);
-    town.start.limits.list_hold = Span(200), town.start.limits.list_grace = Span(100);
-    town.start.limits.list_told = Span(600), town.start.limits.list_lease = Span(600);
+    town.start.limits.list_hold = Span(200);
+    town.start.limits.list_grace = Span(100);
+    town.start.limits.list_told = Span(600);
+    town.start.limits.list_lease = Span(600);
     town.keep_watches_silent();
     town.host.answer = host_answer;
     town.service.emplace(town.io, town.path, town.environment, town.start, town.log, [] {});
     tcp::socket client = client_of(town);
     asio::write(client, asio::buffer(ask("id-one")));
-    assert(read_all(town, client, bulk("id-one").size()) == bulk("id-one"));
+    assert(read_at_least(town, client, bulk("id-one").size()) == bulk("id-one"));
     town.until([&] { return town.has_logged("silent watch"); });
     town.list.answer = [](const std::string &) { return "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"; };
     town.until([&] { return town.list.taken >= 4 && town.has_logged("overdue"); });
     asio::write(client, asio::buffer(ask("id-two")));
-    assert(read_all(town, client, 5).find("-BUSY") == 0);
+    assert(read_at_least(town, client, 5).find("-BUSY") == 0);
     assert(!town.host.was_sent("id-two"));
-    town.list.answer = [&](const std::string &heard) {
-        return asks_at_once(heard) ? sized(town.whole_list(7).dump()) : "";
+    town.list.answer = [&](const std::string &received) {
+        return asks_at_once(received) ? sized(town.whole_list(7).dump()) : "";
     };
-    const std::size_t before = town.logged.str().size();
-    town.until([&] { return town.logged.str().find("list: entries", before) != std::string::npos; });
+    const std::size_t log_size = town.logged.str().size();
+    town.until([&] { return town.logged.str().find("list: entries", log_size) != std::string::npos; });
     asio::write(client, asio::buffer(ask("id-tri")));
-    assert(read_all(town, client, bulk("id-tri").size()) == bulk("id-tri"));
+    assert(read_at_least(town, client, bulk("id-tri").size()) == bulk("id-tri"));
 }
 
-// Discovery moves and its new address never answers: what it would tell counts as told all the same.
-void a_move_that_is_not_answered_is_overdue() {
+// Discovery moves and its new address never answers: changes that it would report count as delivered all the
+// same.
+void the_list_is_overdue_when_a_new_discovery_address_does_not_answer() {
     Town town;
     town.start = read_start_file(town.path, town.environment);
     town.start.limits.list_moved_told = Span(300);
@@ -246,129 +257,132 @@
     town.until([&] { return town.has_logged("overdue"); });
     tcp::socket client = client_of(town);
     asio::write(client, asio::buffer(ask("id-one")));
-    assert(read_all(town, client, 5).find("-BUSY") == 0);
+    assert(read_at_least(town, client, 5).find("-BUSY") == 0);
     assert(!town.host.was_sent("id-one"));
 }
 
-// A discovery that answers each watch at once, with nothing new, is not asked without a pause.
-void a_discovery_with_nothing_new_is_asked_with_pauses() {
+// Where discovery answers each watch at once without changes, the router pauses between watches.
+void discovery_without_changes_is_asked_with_pauses() {
     Town town;
     int calls = 0;
-    std::chrono::steady_clock::time_point first;
-    town.list.answer = [&](const std::string &heard) {
-        if (heard.find("from=7") == std::string::npos) return sized(town.whole_list(7).dump());
-        if (calls++ == 0) first = std::chrono::steady_clock::now();
+    std::chrono::steady_clock::time_point first_call;
+    town.list.answer = [&](const std::string &received) {
+        if (received.find("from=7") == std::string::npos) return sized(town.whole_list(7).dump());
+        if (calls++ == 0) first_call = std::chrono::steady_clock::now();
         return sized(R"({"version":7,"full":false,"servers":[]})");
     };
     town.serve();
     town.until([&] { return calls == 6; });
-    assert(std::chrono::steady_clock::now() - first >= 5 * town.start.limits.list_again / 2);
+    assert(std::chrono::steady_clock::now() - first_call >= 5 * town.start.limits.list_again / 2);
 }
 
-// --- leaving ---
+// --- shutdown ---
 
 std::string order(const std::string &id) {
     return std::string("*5\r\n") + bulk("Q.DO") + bulk("key") + bulk(id) + bulk("c=order,d=20000") +
            bulk("body");
 }
 
-// SIGTERM, and RPCs under way have more time than the process: they are answered before it may be killed, as
-// tried again harmlessly where that is so.
-void what_has_more_time_than_the_process_is_answered() {
+// At SIGTERM the timeouts of RPCs in progress are longer than the process may live: they are answered before
+// it may be killed, and pushed back where a retry is harmless.
+void rpcs_with_a_longer_timeout_than_the_shutdown_are_answered() {
     Town town;
     for (json &method : town.told["settings"]["classes"]) method["deadline"] = 0.2;
     town.write(town.told.dump());
     town.serve();
-    tcp::socket safe = client_of(town), unsafe = client_of(town);
-    asio::write(safe, asio::buffer(ask("id-one")));
-    asio::write(unsafe, asio::buffer(order("id-two")));
+    tcp::socket idempotent = client_of(town);
+    tcp::socket non_idempotent = client_of(town);
+    asio::write(idempotent, asio::buffer(ask("id-one")));
+    asio::write(non_idempotent, asio::buffer(order("id-two")));
     town.until([&] { return town.host.was_sent("id-one") && town.host.was_sent("id-two"); });
     std::raise(SIGTERM);
-    assert(read_all(town, safe, 7) == "-BUSY\r\n");
-    assert(read_all(town, unsafe, 14) == "-ERR aborted\r\n");
+    assert(read_at_least(town, idempotent, 7) == "-BUSY\r\n");
+    assert(read_at_least(town, non_idempotent, 14) == "-ERR aborted\r\n");
     town.until([&] { return town.left; });
 }
 
-// SIGTERM with a command half read: it is taken whole, answered, and only then closed.
-void a_command_half_read_at_the_end_is_answered() {
+// At SIGTERM a command is incomplete: the rest is read, the command is answered, and only then the connection
+// is closed.
+void a_command_incomplete_at_shutdown_is_answered() {
     Town town;
     town.host.answer = host_answer;
     town.serve();
     tcp::socket client = client_of(town);
     asio::write(client, asio::buffer(ask("id-zro")));
-    assert(read_all(town, client, bulk("id-zro").size()) == bulk("id-zro"));
-    const std::string asked = ask("id-one");
-    asio::write(client, asio::buffer(asked.substr(0, 20)));
+    assert(read_at_least(town, client, bulk("id-zro").size()) == bulk("id-zro"));
+    const std::string command = ask("id-one");
+    asio::write(client, asio::buffer(command.substr(0, 20)));
     ping(town);
     std::raise(SIGTERM);
     town.until([&] { return town.has_logged("leaving"); });
     ping(town);
-    asio::write(client, asio::buffer(asked.substr(20)));
-    assert(read_all(town, client, bulk("id-one").size()) == bulk("id-one"));
+    asio::write(client, asio::buffer(command.substr(20)));
+    assert(read_at_least(town, client, bulk("id-one").size()) == bulk("id-one"));
     town.until([&] { return ended(client) && town.left; });
 }
 
-// SIGTERM, and descriptors have run out with a client in the queue of the listener: it is taken once one
-// comes free, and told to try elsewhere.
-void a_client_in_the_queue_at_the_end_is_answered() {
+// At SIGTERM no descriptor is free and a client waits in the listen queue: it is accepted once one is free,
+// and pushed back.
+void a_client_in_the_listen_queue_at_shutdown_is_answered() {
     Town town;
-    of_a_fleet(town); // no idle connections to hosts, whose descriptors would come free
+    configure_large_fleet(town); // no idle connections to hosts, whose descriptors could be released
     for (json &method : town.told["settings"]["classes"]) method["deadline"] = 0.2;
     town.write(town.told.dump());
     town.serve();
-    tcp::socket first = client_of(town), queued(town.io);
+    tcp::socket first = client_of(town);
+    tcp::socket queued(town.io);
     asio::write(first, asio::buffer(order("id-one")));
     town.until([&] { return town.host.was_sent("id-one"); });
     queued.open(tcp::v4());
-    rlimit before{};
-    ::getrlimit(RLIMIT_NOFILE, &before);
-    const rlimit tight{64, before.rlim_max};
-    ::setrlimit(RLIMIT_NOFILE, &tight);
-    std::vector<int> taken;
-    for (int fd = ::dup(0); fd >= 0; fd = ::dup(0)) taken.push_back(fd);
+    rlimit original{};
+    ::getrlimit(RLIMIT_NOFILE, &original);
+    const rlimit few_descriptors{64, original.rlim_max};
+    ::setrlimit(RLIMIT_NOFILE, &few_descriptors);
+    std::vector<int> used_descriptors;
+    for (int fd = ::dup(0); fd >= 0; fd = ::dup(0)) used_descriptors.push_back(fd);
     queued.connect({asio::ip::address_v4::loopback(), town.start.listen.port()});
     asio::write(queued, asio::buffer(ask("id-two")));
     town.until([&] { return town.has_logged("accept: Too many open files"); });
     std::raise(SIGTERM);
-    assert(read_all(town, first, 14) == "-ERR aborted\r\n");
-    assert(read_all(town, queued, 7) == "-BUSY\r\n");
+    assert(read_at_least(town, first, 14) == "-ERR aborted\r\n");
+    assert(read_at_least(town, queued, 7) == "-BUSY\r\n");
     town.until([&] { return town.left; });
-    for (const int fd : taken) ::close(fd);
-    ::setrlimit(RLIMIT_NOFILE, &before);
+    for (const int fd : used_descriptors) ::close(fd);
+    ::setrlimit(RLIMIT_NOFILE, &original);
 }
 
 // --- clients ---
 
-// A client with so many commands under way that it is not read from leaves: none of them is sent on.
-void a_client_that_is_not_read_from_is_seen_to_leave() {
+// A client with so many commands in progress that it is not read from leaves: none of them is sent to a host.
+void the_close_of_a_client_that_is_not_read_from_is_noticed() {
     Town town;
-    SlowDoor door(town.io);
-    of_a_fleet(town);
+    BlockedHost host(town.io);
+    configure_large_fleet(town);
     town.told["settings"]["permissions"]["connectTimeout"] = 60;
-    town.told["known"]["servers"] = json::array({entry("s", door.address())});
+    town.told["known"]["servers"] = json::array({entry("s", host.address())});
     town.keep_watches_silent();
     town.write(town.told.dump());
     town.serve();
     tcp::socket client = client_of(town);
-    std::string asked;
+    std::string commands;
     for (std::size_t i = 0; i < town.start.limits.pipelined; ++i)
-        asked += ask("id-f" + std::to_string(i / 10) + std::to_string(i % 10), "60000");
-    asio::write(client, asio::buffer(asked));
-    town.until([&] { return door.hanging() > 0; });
+        commands += ask("id-f" + std::to_string(i / 10) + std::to_string(i % 10), "60000");
+    asio::write(client, asio::buffer(commands));
+    town.until([&] { return host.pending_connects() > 0; });
     ping(town);
     client.close();
     town.until([&] { return town.has_logged("RPCs 0"); });
-    tcp::socket other = client_of(town);
-    asio::write(other, asio::buffer(ask("id-two")));
+    tcp::socket later_client = client_of(town);
+    asio::write(later_client, asio::buffer(ask("id-two")));
     ping(town);
-    door.open();
-    assert(read_all(town, other, bulk("id-two").size()) == bulk("id-two"));
-    assert(!door.was_sent("id-f"));
+    host.open();
+    assert(read_at_least(town, later_client, bulk("id-two").size()) == bulk("id-two"));
+    assert(!host.was_sent("id-f"));
 }
 
-// Bytes that cannot be read come behind a command whose answer its client is slow to read: the answer comes
-// whole, then an error, then the end, and no reset.
-void answers_before_bad_bytes_come_whole() {
+// Malformed input follows a command whose reply the client reads slowly: it receives the whole reply, then an
+// error, then the end of the connection, and no reset.
+void replies_before_malformed_input_are_delivered() {
     Town town;
     const std::string value(12000, 'v');
     town.host.answer = [&](const std::string &) { return "*3\r\n" + bulk(value) + "$-1\r\n$-1\r\n"; };
@@ -381,22 +395,22 @@
     asio::write(client, asio::buffer(ask("id-one") + "noise\r\n" + std::string(60000, 'x')));
     town.until([&] { return town.has_logged("clients 0, "); });
     client.non_blocking(false);
-    std::string got;
+    std::string received;
     boost::system::error_code end;
-    std::array<char, 4096> room;
-    while (!end) got.append(room.data(), client.read_some(asio::buffer(room), end));
+    std::array<char, 4096> buffer;
+    while (!end) received.append(buffer.data(), client.read_some(asio::buffer(buffer), end));
     assert(end == asio::error::eof);
-    assert(got == bulk(value) + "-ERR Protocol error\r\n");
+    assert(received == bulk(value) + "-ERR Protocol error\r\n");
 }
 
 // --- hosts ---
 
-// A tokened RPC that may have run is sent again while its window stands, not when the connection for it comes
-// up later.
-void a_tokened_rpc_is_not_sent_past_its_window() {
+// A tokened RPC that may have run is sent again only within its window, and not when the connection for it is
+// established later.
+void a_tokened_rpc_is_not_sent_after_its_window() {
     Town town;
-    SlowDoor door(town.io);
-    of_a_fleet(town);
+    BlockedHost host(town.io);
+    configure_large_fleet(town);
     town.told["settings"]["permissions"]["cancel"] = true;
     town.told["settings"]["permissions"]["connectTimeout"] = 15;
     town.told["settings"]["classes"][1]["repeat"] = "idempotency_key";
@@ -409,14 +423,14 @@
     asio::write(client, asio::buffer(order("id-one")));
     town.until([&] { return town.host.was_sent("id-one"); });
     json list = town.whole_list(8);
-    list["servers"].push_back(entry("t", door.address()));
+    list["servers"].push_back(entry("t", host.address()));
     town.list.say(sized(list.dump()));
-    const auto sent = std::chrono::steady_clock::now();
-    town.until([&] { return door.hanging() > 0; });
-    town.until([&] { return std::chrono::steady_clock::now() - sent > std::chrono::seconds(5); });
-    door.open();
+    const auto list_sent_at = std::chrono::steady_clock::now();
+    town.until([&] { return host.pending_connects() > 0; });
+    town.until([&] { return std::chrono::steady_clock::now() - list_sent_at > std::chrono::seconds(5); });
+    host.open();
     town.until([&] { return client.available() > 0; });
-    assert(!door.was_sent("id-one"));
+    assert(!host.was_sent("id-one"));
 }
 
 std::string chunk(const std::string &line) {
@@ -425,17 +439,17 @@
     return size + line + "\n\r\n";
 }
 
-json news_of(int build, const char *phase, double cap) {
+json rollout_status(int build, const char *phase, double cap) {
     return {{"build", build}, {"stage", 1}, {"phase", phase}, {"cap", cap}, {"age_ms", 1}};
 }
 
-// The cap of a build falls while a pick for it waits for a connection.
-void what_waits_for_a_build_that_goes_back_is_not_sent() {
+// The cap of a build is lowered while a pick for it waits for a connection.
+void a_waiting_pick_is_not_sent_to_a_build_that_is_rolled_back() {
     Town town;
-    SlowDoor door(town.io);
-    of_a_fleet(town);
-    town.told["known"]["servers"] = json::array({entry("s", door.address())});
-    town.told["deployer"]["news"] = news_of(1, "Progressing", 1);
+    BlockedHost host(town.io);
+    configure_large_fleet(town);
+    town.told["known"]["servers"] = json::array({entry("s", host.address())});
+    town.told["deployer"]["news"] = rollout_status(1, "Progressing", 1);
     town.keep_watches_silent();
     town.platform.answer = [](const std::string &) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{}");
@@ -444,117 +458,123 @@
     town.serve();
     tcp::socket client = client_of(town);
     asio::write(client, asio::buffer(ask("id-one")));
-    town.until([&] { return door.hanging() > 0 && town.platform.was_sent("/stream"); });
-    const json row{{"type", "stage"}, {"object", news_of(1, "Aborting", 0)}};
+    town.until([&] { return host.pending_connects() > 0 && town.platform.was_sent("/stream"); });
+    const json row{{"type", "stage"}, {"object", rollout_status(1, "Aborting", 0)}};
     town.platform.say(chunk(row.dump()));
-    assert(read_all(town, client, 5).find("-BUSY") == 0); // no build may have it
-    door.open();
-    town.until([&] { return door.hanging() == 0; });
+    assert(read_at_least(town, client, 5).find("-BUSY") == 0); // no build may receive it
+    host.open();
+    town.until([&] { return host.pending_connects() == 0; });
     ping(town);
-    assert(!door.was_sent("id-one"));
+    assert(!host.was_sent("id-one"));
 }
 
-// A newer build answers a key while another pick for it waits for a connection to an earlier one.
-void a_key_is_not_taken_back_by_what_has_waited() {
+// A newer build answers an RPC for a key while a pick of another RPC for the key waits for a connection to an
+// earlier build.
+void a_waiting_pick_does_not_move_a_key_to_an_earlier_build() {
     Town town;
-    SlowDoor door(town.io);
-    of_a_fleet(town);
+    BlockedHost host(town.io);
+    configure_large_fleet(town);
     town.told["settings"]["familyInfo"]["keysStay"] = true;
     town.told["settings"]["familyInfo"]["swap"] = "parallel";
-    town.told["known"]["servers"] = json::array({entry("s", door.address())});
-    town.told["deployer"]["news"] = news_of(2, "Progressing", 1);
+    town.told["known"]["servers"] = json::array({entry("s", host.address())});
+    town.told["deployer"]["news"] = rollout_status(2, "Progressing", 1);
     town.keep_watches_silent();
     town.host.answer = host_answer;
     town.write(town.told.dump());
     town.serve();
-    tcp::socket client = client_of(town), other = client_of(town);
+    tcp::socket client = client_of(town);
+    tcp::socket later_client = client_of(town);
     asio::write(client, asio::buffer(ask("id-one")));
-    town.until([&] { return door.hanging() > 0 && town.list.was_sent("/v1/endpoints"); });
-    json list = town.whole_list(8), newer = entry("t", town.host.address());
+    town.until([&] { return host.pending_connects() > 0 && town.list.was_sent("/v1/endpoints"); });
+    json list = town.whole_list(8);
+    json newer = entry("t", town.host.address());
     newer["version_no"] = 2;
-    list["servers"] = json::array({entry("s", door.address()), newer});
+    list["servers"] = json::array({entry("s", host.address()), newer});
     town.list.say(sized(list.dump()));
     town.until([&] { return town.has_logged("list: entries 2"); });
-    asio::write(other, asio::buffer(ask("id-two")));
-    assert(read_all(town, other, bulk("id-two").size()) == bulk("id-two"));
+    asio::write(later_client, asio::buffer(ask("id-two")));
+    assert(read_at_least(town, later_client, bulk("id-two").size()) == bulk("id-two"));
     assert(town.host.was_sent("id-two"));
-    assert(read_all(town, client, bulk("id-one").size()) == bulk("id-one"));
-    door.open();
-    town.until([&] { return door.hanging() == 0; });
+    assert(read_at_least(town, client, bulk("id-one").size()) == bulk("id-one"));
+    host.open();
+    town.until([&] { return host.pending_connects() == 0; });
     ping(town);
-    assert(!door.was_sent("id-one"));
+    assert(!host.was_sent("id-one"));
 }
 
-// A newer build has been sent a key and its answer does not come, while another pick for the key waits for a
-// connection to an earlier one: the answer may have been lost on its way, so the earlier build is not sent
-// the key. Read from the source: what waited was withdrawn when an answer came, and only then. Once the newer
-// build goes back the earlier one is sent it.
-void a_key_that_is_out_is_not_taken_back_by_what_has_waited() {
-    for (const bool goes_back : {false, true}) {
+// A newer build was sent an RPC for a key and its reply does not arrive, while a pick of another RPC for the
+// key waits for a connection to an earlier build. The reply may have been lost on its way, so the earlier
+// build must not be sent the key. The fault was found by reading the source: waiting picks were withdrawn
+// only when a reply arrived. Once the newer build is rolled back, the earlier one is sent the key.
+void a_waiting_pick_does_not_move_a_key_that_a_newer_build_may_have() {
+    for (const bool rolled_back : {false, true}) {
         Town town;
-        SlowDoor door(town.io);
-        of_a_fleet(town);
+        BlockedHost host(town.io);
+        configure_large_fleet(town);
         town.told["settings"]["familyInfo"]["keysStay"] = true;
         town.told["settings"]["familyInfo"]["swap"] = "parallel";
-        town.told["known"]["servers"] = json::array({entry("s", door.address())});
-        town.told["deployer"]["news"] = news_of(2, "Progressing", 1);
+        town.told["known"]["servers"] = json::array({entry("s", host.address())});
+        town.told["deployer"]["news"] = rollout_status(2, "Progressing", 1);
         town.keep_watches_silent();
         town.platform.answer = [](const std::string &) {
             return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{}");
         };
         town.write(town.told.dump());
         town.serve();
-        tcp::socket client = client_of(town), other = client_of(town);
+        tcp::socket client = client_of(town);
+        tcp::socket later_client = client_of(town);
         asio::write(client, asio::buffer(ask("id-one")));
         town.until([&] {
-            return door.hanging() > 0 && town.list.was_sent("/v1/endpoints") &&
+            return host.pending_connects() > 0 && town.list.was_sent("/v1/endpoints") &&
                    town.platform.was_sent("/stream");
         });
-        json list = town.whole_list(8), newer = entry("t", town.host.address());
+        json list = town.whole_list(8);
+        json newer = entry("t", town.host.address());
         newer["version_no"] = 2;
-        list["servers"] = json::array({entry("s", door.address()), newer});
+        list["servers"] = json::array({entry("s", host.address()), newer});
         town.list.say(sized(list.dump()));
         town.until([&] { return town.has_logged("list: entries 2"); });
-        asio::write(other, asio::buffer(ask("id-two")));
+        asio::write(later_client, asio::buffer(ask("id-two")));
         town.until([&] { return town.host.was_sent("id-two"); });
-        if (goes_back) {
-            const json row{{"type", "stage"}, {"object", news_of(2, "Aborting", 0)}};
+        if (rolled_back) {
+            const json row{{"type", "stage"}, {"object", rollout_status(2, "Aborting", 0)}};
             town.platform.say(chunk(row.dump()));
             town.until([&] { return town.has_logged("rollout: build 2 stage 1 phase 1"); });
         }
-        door.open();
-        town.until([&] { return door.taken > 0 && door.hanging() == 0; });
-        if (goes_back) town.until([&] { return door.was_sent("id-one"); });
+        host.open();
+        town.until([&] { return host.accepted > 0 && host.pending_connects() == 0; });
+        if (rolled_back) town.until([&] { return host.was_sent("id-one"); });
         for (int i = 0; i < 5; ++i) ping(town);
-        assert(door.was_sent("id-one") == goes_back);
+        assert(host.was_sent("id-one") == rolled_back);
     }
 }
 
-// A host begins to drain while a connection to it comes up: nothing is sent on it, and it is not kept.
-void a_connection_to_a_host_that_drains_is_not_kept() {
+// A host begins to drain while a connection to it is being established: nothing is sent on the connection,
+// and it is closed.
+void a_connection_to_a_draining_host_is_closed() {
     Town town;
-    SlowDoor door(town.io);
-    of_a_fleet(town);
-    town.told["known"]["servers"] = json::array({entry("s", door.address())});
+    BlockedHost host(town.io);
+    configure_large_fleet(town);
+    town.told["known"]["servers"] = json::array({entry("s", host.address())});
     town.keep_watches_silent();
     town.write(town.told.dump());
     town.serve();
     tcp::socket client = client_of(town);
     asio::write(client, asio::buffer(ask("id-one")));
-    town.until([&] { return door.hanging() > 0 && town.list.was_sent("/v1/endpoints"); });
+    town.until([&] { return host.pending_connects() > 0 && town.list.was_sent("/v1/endpoints"); });
     json list = town.whole_list(8);
-    list["servers"][0] = entry("s", door.address());
+    list["servers"][0] = entry("s", host.address());
     list["servers"][0]["state"] = "terminating";
     town.list.say(sized(list.dump()));
-    assert(read_all(town, client, 5).find("-BUSY") == 0);
-    door.open();
-    town.until([&] { return door.taken > 1 && door.ended == door.taken; });
-    assert(door.sent.empty());
+    assert(read_at_least(town, client, 5).find("-BUSY") == 0);
+    host.open();
+    town.until([&] { return host.accepted > 1 && host.ended == host.accepted; });
+    assert(host.sent.empty());
 }
 
-// A second copy of each answer comes some milliseconds after the first, while its client asks on: none is
-// read as the next RPC's.
-void late_second_answers_are_nobodys_answer() {
+// A host sends each reply again some milliseconds later, while the client sends further RPCs: no copy is
+// taken for the reply to the next RPC.
+void late_duplicate_replies_of_a_host_are_ignored() {
     Town town;
     town.host.answer = host_answer;
     town.host.twice_after = std::chrono::milliseconds(8);
@@ -563,32 +583,32 @@
     for (int i = 0; i < 150; ++i) {
         const std::string id = std::string("id-") + std::to_string(100 + i);
         asio::write(client, asio::buffer(ask(id)));
-        assert(read_all(town, client, bulk(id).size()) == bulk(id));
+        assert(read_at_least(town, client, bulk(id).size()) == bulk(id));
     }
 }
 
 } // namespace
 
 int main(int count, char **) {
-    if (count > 1) { // a test of its own: owed_queue
-        a_client_in_the_queue_at_the_end_is_answered();
+    if (count > 1) { // the CTest test owed_queue
+        a_client_in_the_listen_queue_at_shutdown_is_answered();
         return 0;
     }
-    what_has_more_time_than_the_process_is_answered();
-    a_command_half_read_at_the_end_is_answered();
-    a_client_that_is_not_read_from_is_seen_to_leave();
-    answers_before_bad_bytes_come_whole();
-    a_tokened_rpc_is_not_sent_past_its_window();
-    what_waits_for_a_build_that_goes_back_is_not_sent();
-    a_key_is_not_taken_back_by_what_has_waited();
-    a_key_that_is_out_is_not_taken_back_by_what_has_waited();
-    a_connection_to_a_host_that_drains_is_not_kept();
-    late_second_answers_are_nobodys_answer();
-    what_waits_for_a_connection_is_not_sent_for_a_client_that_left();
-    what_waits_for_a_connection_is_not_sent_after_the_answer();
-    an_agent_is_heard_before_the_first_client();
-    watches_wait_for_times_of_their_own();
-    nothing_is_sent_while_the_list_is_overdue();
-    a_move_that_is_not_answered_is_overdue();
-    a_discovery_with_nothing_new_is_asked_with_pauses();
+    rpcs_with_a_longer_timeout_than_the_shutdown_are_answered();
+    a_command_incomplete_at_shutdown_is_answered();
+    the_close_of_a_client_that_is_not_read_from_is_noticed();
+    replies_before_malformed_input_are_delivered();
+    a_tokened_rpc_is_not_sent_after_its_window();
+    a_waiting_pick_is_not_sent_to_a_build_that_is_rolled_back();
+    a_waiting_pick_does_not_move_a_key_to_an_earlier_build();
+    a_waiting_pick_does_not_move_a_key_that_a_newer_build_may_have();
+    a_connection_to_a_draining_host_is_closed();
+    late_duplicate_replies_of_a_host_are_ignored();
+    a_pick_that_waits_for_a_connection_is_not_sent_after_its_client_left();
+    a_pick_that_waits_for_a_connection_is_not_sent_after_the_reply();
+    the_list_of_a_local_agent_is_used_before_the_first_client();
+    watches_have_different_hold_times();
+    no_rpc_is_sent_while_the_list_is_overdue();
+    the_list_is_overdue_when_a_new_discovery_address_does_not_answer();
+    discovery_without_changes_is_asked_with_pauses();
 }
--- a/tests/running_router.hpp
+++ b/tests/running_router.hpp
@@ -1,4 +1,5 @@
-// A router on a test's own loop, told by the two files in a folder, with its log at hand.
+// A router that runs on the event loop of a test, configured by the files config.json and settings.xml of a
+// folder. Its log is kept in memory.
 #pragma once
 
 #include "router/service.hpp"
--- a/tests/socket_test.cpp
+++ b/tests/socket_test.cpp
@@ -1,4 +1,4 @@
-// The drivers of sockets, against small peers on loopback in the same process.
+// Tests the socket code of the router against scripted peers on loopback, in one process.
 #include "one_router.hpp"
 
 using namespace pineridge;
@@ -6,70 +6,73 @@
 
 namespace {
 
-void new_addresses_are_taken_on_sighup() {
+void sighup_applies_new_addresses() {
     Town town;
     town.serve();
     town.until([&] { return town.list.was_sent("from=7") && town.platform.was_sent("/stream"); });
     Peer list(town.io), platform(town.io);
-    list.answer = [&](const std::string &heard) {
-        return heard.find("from=3") != std::string::npos ? "" : sized(town.whole_list(3).dump());
+    list.answer = [&](const std::string &received) {
+        return received.find("from=3") != std::string::npos ? "" : sized(town.whole_list(3).dump());
     };
     town.told["discovery"] = list.address();
     town.told["deployer"]["address"] = platform.address();
     town.write(town.told.dump());
     std::raise(SIGHUP);
     std::raise(SIGHUP);
-    // The standing watch is not waited out, and the new service is asked at once for all that it has beyond
-    // what is known.
+    // The open watch is not waited for. The new discovery service is asked at once for all changes after the
+    // last version received.
     town.until([&] { return list.was_sent("from=3") && platform.was_sent("/stream"); });
     assert(list.sent.find("GET /v1/endpoints?from=7&hold_ms=1 HTTP") == 0 && list.taken == 1);
     assert(platform.taken == 1);
     town.until([&] { return town.list.closed == town.list.taken && town.platform.closed > 0; });
 }
 
-void second_copies_of_answers_are_nobodys_answer() {
+void duplicate_replies_of_a_host_are_ignored() {
     Town town;
     town.host.answer = host_answer;
     town.host.twice = true;
     town.serve();
     tcp::socket client = client_of(town);
-    std::string wanted, got(8192, '\0');
+    std::string expected;
+    std::string received(8192, '\0');
     std::size_t size = 0;
     for (int round = 100; round < 200; ++round) {
-        std::string asked;
+        std::string commands;
         for (int i = 0; i < 4; ++i) {
             const std::string id = std::string("id-") + std::to_string(round).substr(1) + std::to_string(i);
-            asked += ask(id), wanted += bulk(id);
+            commands += ask(id);
+            expected += bulk(id);
         }
-        asio::write(client, asio::buffer(asked));
+        asio::write(client, asio::buffer(commands));
         client.non_blocking(true);
         town.until([&] {
-            boost::system::error_code none;
-            size += client.read_some(asio::buffer(&got[size], got.size() - size), none);
-            return size >= wanted.size();
+            boost::system::error_code ignored;
+            size += client.read_some(asio::buffer(&received[size], received.size() - size), ignored);
+            return size >= expected.size();
         });
-        assert(got.substr(0, size) == wanted);
+        assert(received.substr(0, size) == expected);
     }
 }
 
-// Discovery answers with noise, with a part, with other bytes: asked again at once, on a new connection.
-void spoilt_lists_are_asked_for_again() {
+// Discovery answers with noise, with a truncated list and with invalid JSON: each time the list is requested
+// again at once, on a new connection.
+void an_invalid_list_is_requested_again() {
     Town town;
-    const std::string good = sized(town.whole_list(7).dump());
-    std::string other = good;
-    other.replace(other.find("\"full\""), 6, "(full)");
+    const std::string valid = sized(town.whole_list(7).dump());
+    std::string invalid = valid;
+    invalid.replace(invalid.find("\"full\""), 6, "(full)");
     int calls = 0;
-    town.list.answer = [&](const std::string &heard) {
-        const std::string replies[] = {"\x01 noise", good.substr(0, 90), other, good};
-        return heard.find("from=7") != std::string::npos ? "" : replies[std::min(calls++, 3)];
+    town.list.answer = [&](const std::string &received) {
+        const std::string replies[] = {"\x01 noise", valid.substr(0, 90), invalid, valid};
+        return received.find("from=7") != std::string::npos ? "" : replies[std::min(calls++, 3)];
     };
     town.serve();
     town.until([&] { return town.list.was_sent("from=7"); });
     assert(calls == 4 && town.list.taken == 4 && !town.has_logged("warning: list"));
 }
 
-// Where the simulator would push changes, discovery on sockets still has to be asked.
-void a_list_that_is_pushed_is_watched() {
+// In push mode the simulator pushes changes; on sockets discovery still has to be asked for them.
+void discovery_is_watched_in_push_mode() {
     Town town;
     town.told["settings"]["membershipMode"] = "push";
     town.write(town.told.dump());
@@ -77,9 +80,8 @@
     town.until([&] { return town.list.was_sent("from=7"); });
 }
 
-// The fleet's largest lists under the smallest limits: 1,024 hosts, of which a third drains, and as many
-// routers.
-void a_full_fleet_fits_the_smallest_limits() {
+// The largest lists under the smallest limits: 1,024 hosts, a third of which drain, and as many routers.
+void the_largest_fleet_fits_the_smallest_limits() {
     Town town;
     const auto fleet = [&](int version, const char *state) {
         json list{{"version", version}, {"full", true}, {"servers", json::array()}};
@@ -90,8 +92,8 @@
         }
         return list;
     };
-    town.list.answer = [&](const std::string &heard) {
-        return heard.find("from=7") != std::string::npos ? "" : sized(fleet(7, "terminating").dump());
+    town.list.answer = [&](const std::string &received) {
+        return received.find("from=7") != std::string::npos ? "" : sized(fleet(7, "terminating").dump());
     };
     town.told["known"] = fleet(5, "in_service");
     town.told["settings"]["instances"] = 1024;
@@ -101,41 +103,44 @@
     town.serve();
     town.until([&] { return town.list.was_sent("from=7") && town.has_logged("list: entries 1024"); });
     tcp::socket client = client_of(town);
-    std::string got(8192, '\0');
+    std::string received(8192, '\0');
     std::size_t size = 0;
     for (int i = 0; i < 100; ++i) {
         asio::write(client, asio::buffer(ask("id-" + std::to_string(i))));
         client.non_blocking(true);
-        const std::size_t wanted = (i + 1) * std::string("$2\r\nok\r\n").size();
+        const std::size_t expected_size = (i + 1) * std::string("$2\r\nok\r\n").size();
         town.until([&] {
-            boost::system::error_code none;
-            size += client.read_some(asio::buffer(&got[size], got.size() - size), none);
-            return size >= wanted;
+            boost::system::error_code ignored;
+            size += client.read_some(asio::buffer(&received[size], received.size() - size), ignored);
+            return size >= expected_size;
         });
     }
-    assert(got.substr(0, 8) == "$2\r\nok\r\n");
-    // A third of the hosts drain, for which some are kept beyond the share; a close is heard a turn later.
+    assert(received.substr(0, 8) == "$2\r\nok\r\n");
+    // Connections to draining hosts may exceed the limit for hosts by a few. A close is noticed one turn of
+    // the event loop later.
     const Limits &limits = town.start.limits;
-    const int most = static_cast<int>(limits.hosts + limits.drains);
+    const int max_open = static_cast<int>(limits.hosts + limits.drains);
     assert(town.host.taken > 0);
-    town.until([&] { return town.host.taken - town.host.closed <= most; });
-    assert(town.host.taken - town.host.closed <= most);
+    town.until([&] { return town.host.taken - town.host.closed <= max_open; });
+    assert(town.host.taken - town.host.closed <= max_open);
 }
 
-// A line that cannot be read ends the stream's connection: the next is made at once and tells the state.
-void a_spoilt_stream_is_left() {
+// An invalid line ends the connection of the stream. The router reconnects at once and receives the current
+// state.
+void an_invalid_stream_line_causes_a_reconnect() {
     Town town;
-    const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    const std::string header = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     town.platform.answer = [&](const std::string &) {
-        return head + (town.platform.taken == 1 ? "4\r\n[}?\n\r\n" : "3\r\n{}\n\r\n");
+        return header + (town.platform.taken == 1 ? "4\r\n[}?\n\r\n" : "3\r\n{}\n\r\n");
     };
     town.serve();
     town.until([&] { return town.platform.taken == 2; });
     assert(town.has_logged("warning: stream"));
 }
 
-// Clients that ask once and stay: the eldest are closed before they fill the part of those to come.
-void clients_that_stay_leave_room() {
+// Clients send one command and stay connected: the connections idle longest are closed before they use up the
+// share of new clients.
+void idle_clients_are_closed_before_new_ones_run_out_of_connections() {
     Town town;
     town.serve();
     std::vector<tcp::socket> clients;
@@ -148,8 +153,8 @@
     assert(!ended(clients[10]) && !ended(clients.back()));
 }
 
-// Those that ask whether it is ready, and never for more, do not hold up its leaving.
-void pings_do_not_hold_up_leaving() {
+// Clients that only check readiness, and never send an RPC, do not delay the shutdown.
+void pings_do_not_delay_shutdown() {
     Town town;
     town.serve();
     client_of(town);
@@ -170,8 +175,9 @@
     });
 }
 
-// A watch that says nothing for its whole wait is asked anew at once, also by one of hundreds of routers.
-void a_silent_watch_is_asked_anew() {
+// A watch that receives nothing for its whole hold time is requested again at once, also by a router of a
+// large fleet.
+void a_silent_watch_is_requested_again() {
     Town town;
     town.told["settings"]["instances"] = 300;
     town.write(town.told.dump());
@@ -185,8 +191,9 @@
     assert(std::chrono::steady_clock::now() - first < std::chrono::seconds(2));
 }
 
-// Few routers have connections to each host before the first client; of a hundred none opens one unasked.
-void a_fleet_opens_nothing_unasked() {
+// In a small fleet a router connects to each host before the first client; in a fleet of a hundred it does
+// not.
+void routers_of_a_large_fleet_do_not_connect_to_hosts_early() {
     for (const int instances : {1, 100}) {
         Town town;
         town.told["settings"]["instances"] = instances;
@@ -198,26 +205,26 @@
     }
 }
 
-// Told to end, it may be killed after a client's longest wait and some more: whoever comes with more time
-// than that is answered before, and the process is gone by then.
-void what_comes_while_leaving_is_answered_before_the_end() {
+// After SIGTERM the process may be killed once the longest client timeout and a margin have passed. An RPC
+// that arrives with a longer timeout is answered before that, and the process has ended by then.
+void rpcs_during_shutdown_are_answered_before_the_deadline() {
     Town town;
     for (json &method : town.told["settings"]["classes"]) method["deadline"] = 0.2;
     town.write(town.told.dump());
     town.serve();
     client_of(town);
     assert(town.start.limits.leave_by == Span(800));
-    const auto told_to_end = std::chrono::steady_clock::now();
+    const auto signalled_at = std::chrono::steady_clock::now();
     std::raise(SIGTERM);
     town.until([&] { return town.has_logged("leaving"); });
     tcp::socket late = client_of(town);
-    asio::write(late, asio::buffer(ask("id-one"))); // its host says nothing; it would wait for five seconds
+    asio::write(late, asio::buffer(ask("id-one"))); // its host does not answer; its timeout is five seconds
     town.until([&] { return late.available() > 0; });
     town.until([&] { return town.left; });
-    assert(std::chrono::steady_clock::now() - told_to_end < 3 * town.start.limits.leave_by);
+    assert(std::chrono::steady_clock::now() - signalled_at < 3 * town.start.limits.leave_by);
 }
 
-void a_file_that_is_not_sound_changes_nothing() {
+void an_invalid_file_changes_nothing() {
     Town town;
     town.serve();
     town.until([&] { return town.list.was_sent("from=7") && town.platform.was_sent("/stream"); });
@@ -234,24 +241,25 @@
     assert(town.list.taken == 1 && town.platform.taken == 1);
 }
 
-// Another process still holds the address: that is said, and service begins once it is free. An address that
-// is not this machine's ends the program instead of leaving it up and deaf.
-void an_address_in_use_is_waited_for() {
+// While another process holds the address, the router logs a warning, and it serves once the address is free.
+// An address that is not one of this machine ends the program instead of leaving it running without a
+// listener.
+void listening_waits_for_an_address_in_use() {
     Town town;
-    auto other = std::make_unique<tcp::acceptor>(town.io, town.place.endpoint());
+    auto holder = std::make_unique<tcp::acceptor>(town.io, town.place.endpoint());
     town.serve();
     town.until([&] { return town.has_logged("listen: "); });
     assert(!town.has_logged("serving"));
-    other.reset();
+    holder.reset();
     town.until([&] { return town.has_logged("serving"); });
 
-    Town foreign;
-    foreign.told["listen"] = "192.0.2.1:9";
-    foreign.write(foreign.told.dump());
-    foreign.serve();
+    Town unusable;
+    unusable.told["listen"] = "192.0.2.1:9";
+    unusable.write(unusable.told.dump());
+    unusable.serve();
     bool ended = false;
     try {
-        foreign.until([&] { return foreign.has_logged("serving"); });
+        unusable.until([&] { return unusable.has_logged("serving"); });
     } catch (const boost::system::system_error &failed) {
         ended = std::string(failed.what()).find("bind") != std::string::npos;
     }
@@ -261,17 +269,17 @@
 } // namespace
 
 int main() {
-    an_address_in_use_is_waited_for();
-    new_addresses_are_taken_on_sighup();
-    a_file_that_is_not_sound_changes_nothing();
-    second_copies_of_answers_are_nobodys_answer();
-    spoilt_lists_are_asked_for_again();
-    a_list_that_is_pushed_is_watched();
-    a_full_fleet_fits_the_smallest_limits();
-    a_spoilt_stream_is_left();
-    clients_that_stay_leave_room();
-    pings_do_not_hold_up_leaving();
-    what_comes_while_leaving_is_answered_before_the_end();
-    a_silent_watch_is_asked_anew();
-    a_fleet_opens_nothing_unasked();
+    listening_waits_for_an_address_in_use();
+    sighup_applies_new_addresses();
+    an_invalid_file_changes_nothing();
+    duplicate_replies_of_a_host_are_ignored();
+    an_invalid_list_is_requested_again();
+    discovery_is_watched_in_push_mode();
+    the_largest_fleet_fits_the_smallest_limits();
+    an_invalid_stream_line_causes_a_reconnect();
+    idle_clients_are_closed_before_new_ones_run_out_of_connections();
+    pings_do_not_delay_shutdown();
+    rpcs_during_shutdown_are_answered_before_the_deadline();
+    a_silent_watch_is_requested_again();
+    routers_of_a_large_fleet_do_not_connect_to_hosts_early();
 }
--- a/tests/until.hpp
+++ b/tests/until.hpp
@@ -1,5 +1,5 @@
-// Runs a test's loop until something holds. In vain, it says where the test waited and what else is told, and
-// ends the test.
+// Runs the event loop of a test until a condition holds. On a timeout it prints the line that waited and the
+// given diagnostics, and aborts the test.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,12 +13,12 @@
 
 namespace pineridge::test {
 
-inline void run_until(boost::asio::io_context &io, const std::function<bool()> &held, int seconds,
-                      const std::function<std::string()> &told, const std::source_location &place) {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(seconds);
-    while (!held()) {
-        if (std::chrono::steady_clock::now() > end) {
-            std::cerr << "waited in vain at line " << place.line() << "\n" << told() << "\n";
+inline void run_until(boost::asio::io_context &io, const std::function<bool()> &condition, int timeout_s,
+                      const std::function<std::string()> &diagnostics, const std::source_location &caller) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(timeout_s);
+    while (!condition()) {
+        if (std::chrono::steady_clock::now() > deadline) {
+            std::cerr << "condition not met in time, line " << caller.line() << "\n" << diagnostics() << "\n";
             std::abort();
         }
         io.run_one_for(std::chrono::milliseconds(5));
