--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -42,8 +42,8 @@
     }
 
     // Asks the connection limiter to admit this connection, and closes the connection that it evicts in
-    // return. Returns 0 when admitted; else the connection is refused and the client may retry after the
-    // returned time.
+    // return. Returns 0 where the connection may stay, as it always may in observe mode; else it is refused
+    // and the client may retry after the returned time.
     Ticks request_admission(const asio::ip::address &from) {
         const admission::ConnectionDecision decision =
             clients_.connection_limiter_->try_admit(limiter_entry_, number_of(from), clients_.now_ticks());
@@ -345,7 +345,7 @@
     std::vector<bool> unwritten_outcomes_; // of answered RPCs whose replies are not all written: served?
     std::string proxy_header_bytes_; // received so far
     std::size_t buffered_bytes_ = 0; // its part of Clients::total_buffered_bytes_
-    Ticks rejected_retry_after_ = 0; // above 0: the first command is pushed back, then it is closed
+    Ticks rejected_retry_after_ = 0; // above 0: closed once its first command is pushed back
     bool writing_ = false;
     bool closed_ = false;
     bool discards_input_ = false; // after malformed input or a rejection
--- a/src/router/clients/request.cpp
+++ b/src/router/clients/request.cpp
@@ -36,7 +36,7 @@
         if (value != "0" && value != "1") wrong("r", "neither 0 nor 1");
         request.retry = value == "1";
     } else if (name == "h") {
-        request.work_estimate = ticks_down(parse_number(value, "h") / 1e6);
+        request.size_hint = ticks_down(parse_number(value, "h") / 1e6);
     } else if (name == "k") {
         check_token(value, "k", value.size());
     } else {
--- a/src/router/clients/request.hpp
+++ b/src/router/clients/request.hpp
@@ -15,7 +15,7 @@
     int tenant = 0;
     Ticks timeout = 0; // runs from when the client sent the command
     bool retry = false;
-    Ticks work_estimate = 0; // the client's estimate of its work; 0: none
+    Ticks size_hint = 0; // the client's estimate of its work; 0: none
     std::string_view fields; // the whole list of names and values
     std::string_view timeout_digits; // the digits of the timeout within `fields`
 };
@@ -28,11 +28,13 @@
     Request request; // its views point into `command`
 };
 
-// Throws BadInput, which names the faulty field. `max_size` bounds the id and the key, in bytes.
+// Parses the arguments of a Q.ASK or Q.DO command. Throws BadInput, which names the faulty field. `max_size`
+// bounds the id and the key, in bytes.
 Request parse_request(const std::vector<std::string_view> &arguments, const Names &names,
                       std::size_t max_size);
 
-// Returns the reply for an RPC that is pushed back, with the time to retry after in ms; 0: without a time.
+// Returns the reply for an RPC that is pushed back. It states the time to retry after in ms, unless that is
+// 0.
 std::string busy_reply(Ticks retry_after);
 // Returns the retry-after time that may be sent to a client: 0 where the platform forbids sending one, else
 // at most the platform's maximum.
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -262,7 +262,7 @@
     Ticks deadline = now_ + std::max<Ticks>(1, asked.timeout - lead);
     if (leave_by_ >= 0) deadline = std::min(deadline, std::max(now_ + 1, leave_by_));
     to.rpc_arrived({id, asked.method, asked.tenant, std::string(asked.key), deadline, asked.retry, cell,
-                    asked.work_estimate});
+                    asked.size_hint});
 }
 
 // What is pushed back here has not been picked for, so that trying again is harmless. The module never hears
--- a/tests/client_close_test.cpp
+++ b/tests/client_close_test.cpp
@@ -21,9 +21,9 @@
 
 // Takes RPCs in place of the driver, and answers each with its id.
 struct ScriptedHandler final : clients::RequestHandler {
-    void handle_rpc(clients::ReplyTarget target, std::shared_ptr<const clients::OwnedRequest> request,
+    void handle_rpc(clients::ReplyTarget target, std::shared_ptr<const clients::OwnedRequest> rpc,
                     Span) override {
-        const std::string id(request->request.id);
+        const std::string id(rpc->request.id);
         received_ids.push_back(id);
         if (on_rpc) on_rpc(id);
         if (answers_at_once)
