--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -193,7 +193,7 @@
             session_.feed(bytes);
         else if (!read_proxy_header(bytes))
             return;
-        unread_age_ = clients_.unread_age(socket_.native_handle(), last_activity_);
+        lateness_ = clients_.lateness(socket_.native_handle(), last_activity_);
         handle_commands();
         write();
         update_buffered_bytes();
@@ -268,7 +268,7 @@
             clients_.last_rpc_at_ = Clock::now();
             clients_.handler_.handle_rpc(
                 {shared_from_this(), slot},
-                std::make_shared<const OwnedRequest>(session_.command_bytes(), request), unread_age_);
+                std::make_shared<const OwnedRequest>(session_.command_bytes(), request), lateness_);
         } catch (const BadInput &bad) {
             clients_.log_(Level::debug, "invalid command: ", bad.what());
             session_.set_reply(slot, std::string("-ERR ") + bad.what() + "\r\n");
@@ -339,7 +339,7 @@
     Session session_;
     std::vector<std::pair<std::uint64_t, std::string>> unanswered_rpcs_; // reply slots and ids
     Clock::time_point last_activity_;
-    Span unread_age_{0}; // how long the bytes read last had been waiting in the kernel
+    Span lateness_{0}; // how long the bytes read last had been waiting in the kernel
     Clock::time_point partial_command_since_{}; // when the incomplete command started
     admission::ClientConnection limiter_entry_;
     std::vector<bool> unwritten_outcomes_; // of answered RPCs whose replies are not all written: served?
@@ -520,15 +520,15 @@
     return true;
 }
 
-// Returns how long the bytes that were just read had been waiting in the kernel. The time is sampled for one
-// read in `late_looks`, and taken for each read for a while after a delay was seen: only a delay makes the
-// time that a client has left differ from the timeout it sent.
-Span Clients::unread_age(int socket, Clock::time_point now) {
-    if (now >= age_checks_until_ && ++read_count_ % start_.limits.late_looks != 0) return Span(0);
-    const Span age = socket_state(socket).since_last_receive;
-    if (age < start_.limits.late_least) return Span(0);
-    age_checks_until_ = now + start_.limits.late_for;
-    return age;
+// Returns how long the bytes that were just read had been waiting in the kernel. Only one read in several is
+// examined, but every read for a while after a late one: only lateness makes the time that a client has left
+// differ from the timeout it sent.
+Span Clients::lateness(int socket, Clock::time_point now) {
+    if (now >= lateness_checks_until_ && ++read_count_ % start_.limits.late_looks != 0) return Span(0);
+    const Span lateness = socket_state(socket).since_last_receive;
+    if (lateness < start_.limits.late_least) return Span(0);
+    lateness_checks_until_ = now + start_.limits.late_for;
+    return lateness;
 }
 
 void Clients::log_full() {
@@ -602,8 +602,8 @@
     while (accept_one(failed) || (failed != asio::error::would_block && acceptor_.is_open())) {
         if (!failed || failed == asio::error::connection_aborted) continue;
         // No descriptor is free. Closing the acceptor now would reset the connections in the listen queue, so
-        // wait for descriptors to be released: by `leave_by` every accepted RPC has been answered.
-        // The process may be killed only later than `leave_last` after that.
+        // wait for descriptors to be released: by the shutdown deadline every accepted RPC has been answered.
+        // The short grace period after it still ends before the process may be killed.
         if (Clock::now() - started >= limits.leave_by + limits.leave_last) break;
         handler_.handle_descriptors_exhausted();
         close_idle(Span(0));
--- a/src/router/clients/clients.hpp
+++ b/src/router/clients/clients.hpp
@@ -30,9 +30,9 @@
 // Receives the RPCs of all clients. Each one is answered by Clients::answer, unless its client leaves before.
 struct RequestHandler {
     virtual ~RequestHandler() = default;
-    // `unread_age`: how long the command had been waiting in the kernel before it was read.
+    // `lateness`: how long the command had been waiting in the kernel before it was read.
     virtual void handle_rpc(ReplyTarget target, std::shared_ptr<const OwnedRequest> request,
-                            Span unread_age) = 0;
+                            Span lateness) = 0;
     // The connection of the RPC with this id has been closed, by its client or by the router.
     virtual void handle_client_left(const std::string &id) = 0;
     // No descriptor was free for a new connection. The handler should close idle connections of its own.
@@ -70,7 +70,7 @@
     void close_idle(std::chrono::milliseconds max_unused);
     void close_idle_beyond(std::size_t max_open, std::size_t max_examined);
     bool accept_one(boost::system::error_code &failed); // false: no connection could be accepted
-    Span unread_age(int socket, std::chrono::steady_clock::time_point now);
+    Span lateness(int socket, std::chrono::steady_clock::time_point now);
     void log_full();
     void add_idle(Connection &connection);
     void remove_idle(Connection &connection);
@@ -97,7 +97,7 @@
     std::chrono::steady_clock::time_point last_rpc_at_{};
     asio::steady_timer accept_timer_; // cancelled when a connection closes
     std::chrono::steady_clock::time_point
-        age_checks_until_{}; // until then the age of each read is determined
+        lateness_checks_until_{}; // until then the lateness of each read is determined
     std::chrono::steady_clock::time_point last_full_log_{};
     std::uint64_t read_count_ = 0;
     std::uint64_t abandoned_ = 0; // connections that their clients had closed before they were accepted
