--- a/src/router/clients/request.cpp
+++ b/src/router/clients/request.cpp
@@ -84,8 +84,8 @@
     return retry_after > 0 ? "-BUSY " + std::to_string((retry_after + 9) / 10) + "\r\n" : "-BUSY\r\n";
 }
 
-Ticks permitted_retry_after(const DeploymentConfig &terms, Ticks retry_after) {
-    return terms.advise_retry_after ? std::min(retry_after, terms.max_retry_after) : 0;
+Ticks permitted_retry_after(const DeploymentConfig &config, Ticks retry_after) {
+    return config.advise_retry_after ? std::min(retry_after, config.max_retry_after) : 0;
 }
 
 OwnedRequest::OwnedRequest(std::string_view bytes, const Request &parsed) : command(bytes), request(parsed) {
--- a/src/router/clients/request.hpp
+++ b/src/router/clients/request.hpp
@@ -38,7 +38,7 @@
 std::string busy_reply(Ticks retry_after);
 // Returns the retry-after time that may be sent to a client: 0 where the platform forbids sending one, else
 // at most the platform's maximum.
-Ticks permitted_retry_after(const DeploymentConfig &terms, Ticks retry_after);
+Ticks permitted_retry_after(const DeploymentConfig &config, Ticks retry_after);
 
 // A command encoded with another timeout. The parts are views into the original command and into the two
 // arrays here, so both have to outlive them.
