--- a/bench/admission_lookup.cpp
+++ b/bench/admission_lookup.cpp
@@ -21,19 +21,19 @@
     return std::chrono::duration<double, std::nano>(Clock::now() - began).count() / count;
 }
 
-Networks random_networks(int count, std::mt19937_64 &chance) {
-    std::vector<Networks::Entry> entries;
+NetworkTable random_networks(int count, std::mt19937_64 &chance) {
+    std::vector<NetworkTable::Entry> entries;
     std::set<Network> seen;
     while (static_cast<int>(entries.size()) < count) {
         const bool four = chance() % 2 == 0;
         const int bits =
             four ? 96 + 12 + static_cast<int>(chance() % 17) : 24 + static_cast<int>(chance() % 41);
-        const Number at = four ? Number{0, 0xffff00000000 | (chance() & 0xffffffff)}
-                               : Number{0x2000000000000000 | chance() >> 4, chance()};
-        const Network network{cut(at, bits), bits};
+        const AddressBits at = four ? AddressBits{0, 0xffff00000000 | (chance() & 0xffffffff)}
+                                    : AddressBits{0x2000000000000000 | chance() >> 4, chance()};
+        const Network network{mask_to_prefix(at, bits), bits};
         if (seen.insert(network).second) entries.push_back({network, static_cast<int>(chance() % 100)});
     }
-    return Networks(std::move(entries));
+    return NetworkTable(std::move(entries));
 }
 
 } // namespace
@@ -42,22 +42,22 @@
     std::mt19937_64 chance(1);
     for (const int count : {10, 1000, 100000}) {
         const auto built = Clock::now();
-        const Networks networks = random_networks(count, chance);
+        const NetworkTable networks = random_networks(count, chance);
         const double build_ms = ns_since(built, 1) / 1e6;
-        std::vector<Number> asked;
+        std::vector<AddressBits> asked;
         for (int i = 0; i < 1 << 16; ++i)
-            asked.push_back(i % 2 ? Number{0, 0xffff00000000 | (chance() & 0xffffffff)}
-                                  : Number{0x2000000000000000 | chance() >> 4, chance()});
+            asked.push_back(i % 2 ? AddressBits{0, 0xffff00000000 | (chance() & 0xffffffff)}
+                                  : AddressBits{0x2000000000000000 | chance() >> 4, chance()});
         long sum = 0;
         constexpr int kRounds = 20;
         const auto began = Clock::now();
         for (int round = 0; round < kRounds; ++round)
-            for (const Number &one : asked) sum += networks.group_of(one);
+            for (const AddressBits &one : asked) sum += networks.group_of(one);
         std::cout << count << " networks: " << ns_since(began, kRounds * static_cast<int>(asked.size()))
                   << " ns a look-up, made in " << build_ms << " ms" << (sum == 0 ? " " : "") << "\n";
     }
-    Entrance rules;
-    rules.crowds[0].per_address = 20;
+    AdmissionSettings rules;
+    rules.crowds[0].max_per_address = 20;
     const long before = standins::resident_kb("self");
     ConnectionLimiter limiter(rules, 586, 1);
     std::vector<ClientConnection> guests(586);
--- a/bench/release_back.cpp
+++ b/bench/release_back.cpp
@@ -27,7 +27,7 @@
     town.write_files();
     router::Start start =
         router::read_start_file((town.folder / "config.json").string(), [](const char *) { return nullptr; });
-    router::take_wishes(start, read_wishes_file((town.folder / "settings.xml").string()));
+    router::take_wishes(start, read_settings_file((town.folder / "settings.xml").string()));
     std::ostringstream logged;
     const Log log(logged, "n1", Level::info);
     router::Service service(
--- a/bench/release_cost.cpp
+++ b/bench/release_cost.cpp
@@ -66,13 +66,13 @@
 }
 
 void plan_at_scale() {
-    Scheme scheme;
+    ReleaseSettings scheme;
     scheme.service = "booking";
     scheme.zone = "z0";
     for (int i = 0; i < 200; ++i) scheme.zones.push_back({"z" + std::to_string(i)});
     for (int i = 0; i < 500; ++i) scheme.customers.push_back({"c" + std::to_string(i)});
     scheme.stages = {0, 0.05, 0.25, 1};
-    scheme.follow = 3;
+    scheme.wave_gate_stage = 3;
     const double before = resident_mb();
     release::Plan plan(scheme);
     plan.set_time(1);
--- a/bench/release_fairness.cpp
+++ b/bench/release_fairness.cpp
@@ -33,8 +33,8 @@
     std::vector<double> seconds; // to the release of good builds
 };
 
-Scheme scheme_for(Order order, bool one_cell) {
-    Scheme scheme;
+ReleaseSettings scheme_for(WaveOrder order, bool one_cell) {
+    ReleaseSettings scheme;
     scheme.service = "booking";
     scheme.zone = "z";
     scheme.zones = {{"z"}};
@@ -45,13 +45,13 @@
             scheme.customers.push_back({"c" + std::to_string(i), 1, kTraffic[i]});
     scheme.stages = {0, 0.05, 0.25, 1};
     scheme.order = order;
-    scheme.follow = 2;
-    scheme.evidence = 20;
-    scheme.renew = kSecond;
+    scheme.wave_gate_stage = 2;
+    scheme.min_picks = 20;
+    scheme.opinion_interval = kSecond;
     return scheme;
 }
 
-Result run(Order order, bool one_cell, const std::vector<Drawn> &releases) {
+Result run(WaveOrder order, bool one_cell, const std::vector<Drawn> &releases) {
     Result result;
     result.withdrawn.assign(kTraffic.size(), 0);
     std::vector<double> carried(kTraffic.size(), 0);
@@ -66,7 +66,7 @@
         word.rev = ++rev;
         plan.apply_update(word);
     };
-    const std::size_t cells = plan.scheme().cells();
+    const std::size_t cells = plan.scheme().cell_count();
     const auto weight = [&](std::size_t cell) { return one_cell ? 1.0 : kTraffic[cell]; };
     for (std::size_t number = 0; number < releases.size(); ++number) {
         const Drawn &drawn = releases[number];
@@ -162,7 +162,7 @@
     std::cout << "\nshare of RPCs at builds withdrawn, by customer; customers touched by a bad build; mean "
                  "and worst distance (worst: of its traffic); RPCs; "
                  "median s to release\n";
-    print("balanced", run(Order::balanced, false, releases));
-    print("first come", run(Order::customers, false, releases));
-    print("one cell", run(Order::zones, true, releases));
+    print("balanced", run(WaveOrder::balanced, false, releases));
+    print("first come", run(WaveOrder::customers, false, releases));
+    print("one cell", run(WaveOrder::zones, true, releases));
 }
--- a/src/admission/connection_limiter.cpp
+++ b/src/admission/connection_limiter.cpp
@@ -13,28 +13,31 @@
 // are mostly refused many at a time.
 constexpr Ticks kMinRetryAfter = 2000;
 
-bool is_v4(const Number &address) { return cut(address, kBitsBeforeV4) == Number{0, 0xffff00000000}; }
+bool is_v4(const AddressBits &address) {
+    return mask_to_prefix(address, kBitsBeforeV4) == AddressBits{0, 0xffff00000000};
+}
 
 } // namespace
 
-ConnectionLimiter::ConnectionLimiter(const Entrance &rules, std::size_t capacity, std::uint64_t seed)
+ConnectionLimiter::ConnectionLimiter(const AdmissionSettings &rules, std::size_t capacity, std::uint64_t seed)
     : rules_(&rules), capacity_(capacity),
-      sources_(static_cast<std::size_t>(rules.addresses), rules.trust_half, seed),
+      sources_(static_cast<std::size_t>(rules.max_addresses), rules.trust_half_life, seed),
       crowds_(rules.crowds.size()), random_{seed} {}
 
-Network ConnectionLimiter::network_of(const Number &address) const {
-    const int bits = is_v4(address) ? kBitsBeforeV4 + rules_->prefix4 : rules_->prefix6;
-    return {cut(address, bits), bits};
+Network ConnectionLimiter::network_of(const AddressBits &address) const {
+    const int bits = is_v4(address) ? kBitsBeforeV4 + rules_->prefix_v4 : rules_->prefix_v6;
+    return {mask_to_prefix(address, bits), bits};
 }
 
-ConnectionDecision ConnectionLimiter::try_admit(ClientConnection &connection, const Number &address,
+ConnectionDecision ConnectionLimiter::try_admit(ClientConnection &connection, const AddressBits &address,
                                                 Ticks now) {
     connection.address = address;
     assign_crowd_and_sources(connection);
     const Crowd &rule = crowd_rules(connection.crowd);
     TokenBucket &open_rate = connection.address_source->open_rate;
-    if (rule.opens > 0 && !open_rate.try_take(rule.opens, rule.burst, now))
-        return refuse(connection, RefusalReason::open_rate_limit, open_rate.ticks_until_token(rule.opens));
+    if (rule.opens_per_s > 0 && !open_rate.try_take(rule.opens_per_s, rule.open_burst, now))
+        return refuse(connection, RefusalReason::open_rate_limit,
+                      open_rate.ticks_until_token(rule.opens_per_s));
     if (const RefusalReason reason = exceeded_limit(connection); reason != RefusalReason::none)
         return refuse(connection, reason, 0);
     ConnectionDecision decision;
@@ -51,11 +54,11 @@
 void ConnectionLimiter::assign_crowd_and_sources(ClientConnection &connection) {
     connection.crowd = std::max(0, rules_->networks.group_of(connection.address));
     const Crowd &rule = crowd_rules(connection.crowd);
-    connection.address_source = &sources_.find_or_add({connection.address, kAddressBits}, rule.burst);
+    connection.address_source = &sources_.find_or_add({connection.address, kAddressBits}, rule.open_burst);
     // Counted as open meanwhile, so that the second look-up cannot evict it.
     ++connection.address_source->open_connections;
     connection.network_source =
-        rule.per_network > 0 ? &sources_.find_or_add(network_of(connection.address), 0) : nullptr;
+        rule.max_per_network > 0 ? &sources_.find_or_add(network_of(connection.address), 0) : nullptr;
     --connection.address_source->open_connections;
 }
 
@@ -69,10 +72,11 @@
 
 RefusalReason ConnectionLimiter::exceeded_limit(const ClientConnection &connection) const {
     const Crowd &rule = crowd_rules(connection.crowd);
-    if (rule.most > 0 && open_connections(connection.crowd) >= rule.most) return RefusalReason::crowd_limit;
-    if (rule.per_address > 0 && connection.address_source->open_connections >= rule.per_address)
+    if (rule.max_connections > 0 && open_connections(connection.crowd) >= rule.max_connections)
+        return RefusalReason::crowd_limit;
+    if (rule.max_per_address > 0 && connection.address_source->open_connections >= rule.max_per_address)
         return RefusalReason::address_limit;
-    if (connection.network_source && connection.network_source->open_connections >= rule.per_network)
+    if (connection.network_source && connection.network_source->open_connections >= rule.max_per_network)
         return RefusalReason::network_limit;
     return RefusalReason::none;
 }
@@ -80,12 +84,13 @@
 // Capacity that other crowds have reserved and do not use yet is not available to this crowd.
 bool ConnectionLimiter::has_capacity_for(int crowd) const {
     if (open_connections_ >= capacity_) return false;
-    if (open_connections(crowd) < crowd_rules(crowd).reserve) return true;
+    if (open_connections(crowd) < crowd_rules(crowd).reserved_connections) return true;
     std::size_t reserved_for_others = 0;
     for (std::size_t i = 0; i < crowds_.size(); ++i)
         if (static_cast<int>(i) != crowd)
-            reserved_for_others += static_cast<std::size_t>(std::max(
-                0, crowd_rules(static_cast<int>(i)).reserve - open_connections(static_cast<int>(i))));
+            reserved_for_others +=
+                static_cast<std::size_t>(std::max(0, crowd_rules(static_cast<int>(i)).reserved_connections -
+                                                         open_connections(static_cast<int>(i))));
     return open_connections_ + reserved_for_others < capacity_;
 }
 
@@ -96,11 +101,11 @@
     double weights = 0, reserved = 0;
     for (std::size_t i = 0; i < crowds_.size(); ++i) {
         const Crowd &rule = crowd_rules(static_cast<int>(i));
-        reserved += rule.reserve;
+        reserved += rule.reserved_connections;
         if (crowds_[i].open_connections > 0 || static_cast<int>(i) == newcomer_crowd) weights += rule.weight;
     }
     const double unreserved = std::max(0.0, static_cast<double>(capacity_) - reserved);
-    return crowd_rules(crowd).reserve + unreserved * crowd_rules(crowd).weight / weights;
+    return crowd_rules(crowd).reserved_connections + unreserved * crowd_rules(crowd).weight / weights;
 }
 
 ClientConnection *ConnectionLimiter::longest_idle(CrowdState &state, IdleClass idle_class, Ticks now,
@@ -199,7 +204,7 @@
 
 // Admitted connections stay open and are counted in the crowd that their address now belongs to. Where that
 // puts a crowd above its limit, new connections are refused until enough have closed.
-void ConnectionLimiter::set_rules(const Entrance &rules) {
+void ConnectionLimiter::set_rules(const AdmissionSettings &rules) {
     for (ClientConnection *const connection : connections_) {
         remove_from_idle_list(*connection);
         if (connection->network_source) sources_.connection_closed(*connection->network_source);
@@ -214,28 +219,29 @@
     }
 }
 
-std::string ConnectionLimiter::explain(const Number &address, Ticks now) const {
+std::string ConnectionLimiter::explain(const AddressBits &address, Ticks now) const {
     std::ostringstream lines;
     const auto *entry = rules_->networks.entry_of(address);
     const int crowd = entry ? entry->group : 0;
     const Crowd &rule = crowd_rules(crowd);
     lines << "crowd " << rule.name << ": "
           << (entry ? "by network " + entry->network.text() : std::string("in no network")) << "\n";
-    lines << "connections of the crowd: " << open_connections(crowd) << " open, " << rule.reserve
+    lines << "connections of the crowd: " << open_connections(crowd) << " open, " << rule.reserved_connections
           << " reserved, share " << static_cast<long>(fair_share(crowd, crowd)) << " of " << capacity_;
-    if (rule.most > 0) lines << ", at most " << rule.most;
+    if (rule.max_connections > 0) lines << ", at most " << rule.max_connections;
     lines << "\n";
     const Source *const source = sources_.find({address, kAddressBits});
     lines << "connections of the address: " << (source ? source->open_connections : 0) << " open";
-    if (rule.per_address > 0) lines << ", at most " << rule.per_address;
-    if (rule.opens > 0) lines << ", " << rule.opens << " new ones a second, " << rule.burst << " at once";
+    if (rule.max_per_address > 0) lines << ", at most " << rule.max_per_address;
+    if (rule.opens_per_s > 0)
+        lines << ", " << rule.opens_per_s << " new ones a second, " << rule.open_burst << " at once";
     lines << "\n";
-    if (rule.per_network > 0) {
+    if (rule.max_per_network > 0) {
         const Network network = network_of(address);
         const Source *const network_source = sources_.find(network);
         lines << "connections of its network " << network.text() << ": "
               << (network_source ? network_source->open_connections : 0) << " open, at most "
-              << rule.per_network << "\n";
+              << rule.max_per_network << "\n";
     }
     const double trust_score = source ? sources_.trust_score(*source, now) : 0;
     lines << "trust: " << trust_score << " RPCs served, decaying over time; "
--- a/src/admission/connection_limiter.hpp
+++ b/src/admission/connection_limiter.hpp
@@ -9,7 +9,7 @@
 
 #include "admission/source_table.hpp"
 #include "random.hpp"
-#include "settings/entrance.hpp"
+#include "settings/admission.hpp"
 
 #include <array>
 #include <optional>
@@ -25,7 +25,7 @@
     void *owner = nullptr;
 
     // Set by the limiter.
-    Number address{};
+    AddressBits address{};
     int crowd = 0;
     Source *address_source = nullptr;
     Source *network_source = nullptr; // null where its crowd has no limit per network
@@ -49,10 +49,10 @@
   public:
     // `capacity` is the number of connections admitted at a time. The rules must outlive the limiter or the
     // next call of `set_rules`.
-    ConnectionLimiter(const Entrance &rules, std::size_t capacity, std::uint64_t seed);
+    ConnectionLimiter(const AdmissionSettings &rules, std::size_t capacity, std::uint64_t seed);
 
     // Decides on a new connection from `address`. An admitted one is referenced until `closed` is called.
-    ConnectionDecision try_admit(ClientConnection &connection, const Number &address, Ticks now);
+    ConnectionDecision try_admit(ClientConnection &connection, const AddressBits &address, Ticks now);
     void rpc_started(ClientConnection &connection);
     // `served`: whether the RPC was answered with a value.
     void rpc_finished(ClientConnection &connection, bool served, Ticks now);
@@ -64,10 +64,10 @@
     ClientConnection *next_to_evict(Ticks now, Ticks min_idle);
 
     // Replaces the rules. Connections that are already admitted stay open.
-    void set_rules(const Entrance &rules);
+    void set_rules(const AdmissionSettings &rules);
 
     // Describes the rules that apply to an address, and why, in lines of text for an operator.
-    std::string explain(const Number &address, Ticks now) const;
+    std::string explain(const AddressBits &address, Ticks now) const;
 
     std::size_t open_connections() const { return open_connections_; }
     int open_connections(int crowd) const {
@@ -102,10 +102,10 @@
     void assign_crowd_and_sources(ClientConnection &connection); // by its address
     void count_connection(ClientConnection &connection, Ticks now);
     ConnectionDecision refuse(ClientConnection &connection, RefusalReason reason, Ticks min_retry_after);
-    Network network_of(const Number &address) const;
+    Network network_of(const AddressBits &address) const;
     const Crowd &crowd_rules(int crowd) const { return rules_->crowds[static_cast<std::size_t>(crowd)]; }
 
-    const Entrance *rules_;
+    const AdmissionSettings *rules_;
     std::size_t capacity_;
     std::size_t open_connections_ = 0;
     SourceTable sources_;
--- a/src/admission/rpc_limiter.cpp
+++ b/src/admission/rpc_limiter.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-RpcLimiter::RpcLimiter(const Counting &rules, const std::vector<std::string> &customers,
+RpcLimiter::RpcLimiter(const RpcLimitSettings &rules, const std::vector<std::string> &customers,
                        const std::vector<std::string> &methods, int deployed_routers, std::uint64_t seed)
     : rules_(rules), random_{seed} {
     // Each router enforces an equal part of a quota, so that the parts add up to it without any exchange
@@ -26,13 +26,13 @@
     const double routers = std::max(1, rules.routers > 0 ? rules.routers : deployed_routers);
     for (const Quota &quota : rules.quotas) {
         QuotaBucket quota_bucket{index_of(customers, quota.customer, "customer"),
-                                 index_of(methods, quota.method, "method"), quota.rate / routers,
+                                 index_of(methods, quota.method, "method"), quota.rpcs_per_s / routers,
                                  std::max(1.0, quota.burst / routers)};
         quota_bucket.bucket.tokens = quota_bucket.burst;
         quota_buckets_.push_back(quota_bucket);
     }
     if (rules.retry_share > 0) recent_pushbacks_.resize(kPushbackSets * kPushbackWays);
-    retry_budget_.tokens = rules.retry_least;
+    retry_budget_.tokens = rules.min_retries_per_s;
 }
 
 bool RpcLimiter::is_retry(const RpcInfo &rpc, Ticks now) {
@@ -52,8 +52,8 @@
         return RpcDecision{reason, schedule_retry(rpc, min_retry_after, now)};
     };
     if (rules_.retry_share > 0) {
-        const double max_budget = std::max(1.0, rules_.retry_least);
-        retry_budget_.refill(rules_.retry_least, max_budget, now);
+        const double max_budget = std::max(1.0, rules_.min_retries_per_s);
+        retry_budget_.refill(rules_.min_retries_per_s, max_budget, now);
         if (is_retry(rpc, now)) {
             ++retries_;
             if (retry_budget_.tokens < 1) return push_back(PushbackReason::retry_budget, kMinRetryAfter);
@@ -62,7 +62,7 @@
             retry_budget_.tokens = std::min(max_budget, retry_budget_.tokens + rules_.retry_share);
         }
     }
-    if (rules_.late_aim > 0 && static_cast<double>(in_flight_) >= concurrency_limit_)
+    if (rules_.max_lateness > 0 && static_cast<double>(in_flight_) >= concurrency_limit_)
         return push_back(PushbackReason::lateness, kMinRetryAfter);
     // Every quota that covers the RPC needs a token; none is taken unless all have one.
     for (QuotaBucket &quota : quota_buckets_) {
@@ -115,11 +115,11 @@
 // recently in flight, again in each interval until reads are timely. It is raised only where RPCs in flight
 // reached it in the last interval.
 void RpcLimiter::update_concurrency_limit(Ticks now) {
-    if (rules_.late_aim <= 0 || now - limit_updated_at_ < kUpdateInterval) return;
+    if (rules_.max_lateness <= 0 || now - limit_updated_at_ < kUpdateInterval) return;
     const auto peak = static_cast<double>(peak_in_flight_);
-    if (peak_lateness_ > rules_.late_aim)
+    if (peak_lateness_ > rules_.max_lateness)
         concurrency_limit_ = std::max<double>(
-            rules_.least_under_way, std::min(concurrency_limit_, std::max(peak, 1.0)) * kLimitDecrease);
+            rules_.min_in_flight, std::min(concurrency_limit_, std::max(peak, 1.0)) * kLimitDecrease);
     else if (peak >= concurrency_limit_ - 1)
         concurrency_limit_ = std::min(
             kMaxConcurrencyLimit, concurrency_limit_ + std::max(1.0, concurrency_limit_ * kLimitIncrease));
--- a/src/admission/rpc_limiter.hpp
+++ b/src/admission/rpc_limiter.hpp
@@ -8,7 +8,7 @@
 
 #include "admission/token_bucket.hpp"
 #include "random.hpp"
-#include "settings/entrance.hpp"
+#include "settings/admission.hpp"
 
 #include <array>
 #include <string>
@@ -35,7 +35,7 @@
   public:
     // Quotas are divided by the number of routers in `rules`, or by `deployed_routers` where `rules` has
     // none. Throws BadInput that names a quota's customer or method missing from `customers` or `methods`.
-    RpcLimiter(const Counting &rules, const std::vector<std::string> &customers,
+    RpcLimiter(const RpcLimitSettings &rules, const std::vector<std::string> &customers,
                const std::vector<std::string> &methods, int deployed_routers, std::uint64_t seed);
 
     // An admitted RPC is in flight until `finished` is called for it.
@@ -82,7 +82,7 @@
     bool is_retry(const RpcInfo &rpc, Ticks now);
     void update_concurrency_limit(Ticks now);
 
-    Counting rules_;
+    RpcLimitSettings rules_;
     std::vector<QuotaBucket> quota_buckets_;
     std::vector<RecentPushback> recent_pushbacks_; // empty without a retry budget
     TokenBucket retry_budget_{};
--- a/src/admission/source_table.cpp
+++ b/src/admission/source_table.cpp
@@ -8,7 +8,8 @@
 namespace pineridge::admission {
 
 std::size_t SourceTable::Hash::operator()(const Network &key) const {
-    const std::uint64_t words[3] = {key.first.high, key.first.low, static_cast<std::uint64_t>(key.bits)};
+    const std::uint64_t words[3] = {key.first.high, key.first.low,
+                                    static_cast<std::uint64_t>(key.prefix_length)};
     return XXH3_64bits_withSeed(words, sizeof words, seed);
 }
 
--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -1,4 +1,4 @@
-// TCP addresses as they are told: an IP address, a colon and a port.
+// TCP addresses in configuration and messages: an IP address, a colon and a port.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,7 +9,7 @@
 
 using Address = boost::asio::ip::tcp::endpoint;
 
-// Throws BadInput naming the key.
+// Parses "ADDRESS:PORT". Throws BadInput that names the key.
 Address read_address(const std::string &text, const char *key);
 
 } // namespace pineridge
--- a/src/base/bad_input.hpp
+++ b/src/base/bad_input.hpp
@@ -1,4 +1,5 @@
-// What cannot be used, with the key, field or place at fault named in the text.
+// The exception for configuration, settings and messages that cannot be used. Its text names the key, field
+// or file position at fault.
 #pragma once
 
 #include <stdexcept>
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -25,12 +25,13 @@
 
 } // namespace
 
-Log::Log(std::ostream &out, const std::string &name, Level least, Form form) : least_(least), form_(form) {
+Log::Log(std::ostream &out, const std::string &name, Level min_level, LogFormat format)
+    : min_level_(min_level), format_(format) {
     auto sink = std::make_shared<spdlog::sinks::ostream_sink_st>(out, true);
     logger_ = std::make_unique<spdlog::logger>(name, std::move(sink));
-    logger_->set_level(spdlog::level::debug); // what is below the least level never gets so far
+    logger_->set_level(spdlog::level::debug); // lower levels are filtered in Log itself
     std::string pattern = "%n %l: %v";
-    if (form == Form::json) {
+    if (format == LogFormat::json) {
         pattern = R"({"at":"%Y-%m-%dT%H:%M:%S.%eZ","router":)";
         pattern += quoted(name);
         pattern += R"(,"level":"%l",%v})";
@@ -46,22 +47,22 @@
     logger_->log(kLevels[static_cast<int>(level)], spdlog::string_view_t(text));
 }
 
-void Log::say(Level level, const std::string &text) const {
-    std::string line = form_ == Form::json ? "\"text\":" : "";
-    line += form_ == Form::json ? quoted(text) : text;
+void Log::write_text(Level level, const std::string &text) const {
+    std::string line = format_ == LogFormat::json ? "\"text\":" : "";
+    line += format_ == LogFormat::json ? quoted(text) : text;
     write(level, line);
 }
 
 void Log::event(Level level, std::string_view name, const std::vector<Field> &fields) const {
-    if (level < least_) return;
-    std::string line = form_ == Form::json ? "\"event\":" : "";
-    line += form_ == Form::json ? quoted(name) : std::string(name);
+    if (level < min_level_) return;
+    std::string line = format_ == LogFormat::json ? "\"event\":" : "";
+    line += format_ == LogFormat::json ? quoted(name) : std::string(name);
     for (const Field &field : fields) {
-        const bool bare = form_ == Form::plain && !field.value.empty() &&
+        const bool bare = format_ == LogFormat::plain && !field.value.empty() &&
                           field.value.find_first_of(" \"=\n\r\t") == std::string::npos;
-        line += form_ == Form::json ? "," : " ";
-        line += form_ == Form::json ? quoted(field.name) : field.name;
-        line += form_ == Form::json ? ":" : "=";
+        line += format_ == LogFormat::json ? "," : " ";
+        line += format_ == LogFormat::json ? quoted(field.name) : field.name;
+        line += format_ == LogFormat::json ? ":" : "=";
         line += bare ? field.value : quoted(field.value);
     }
     write(level, line);
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,6 +1,6 @@
-// Log lines, those at or above a level, through spdlog onto an ostream; each is flushed when written. Plain:
-// `n3 info: text` and, for events, `n3 info: release.stage build=7 zone=a`. JSON: an object a line.
-// Not for several threads. The stream must outlive the log.
+// Log lines at or above a level, written through spdlog to an ostream and flushed line by line. The plain
+// format is `n3 info: text` and, for events, `n3 info: release.stage build=7 zone=a`; the JSON format writes
+// one object a line. A log is not thread-safe, and the stream must outlive it.
 #pragma once
 
 #include <memory>
@@ -17,8 +17,9 @@
 namespace pineridge {
 
 enum class Level { debug, info, warning, error };
-enum class Form { plain, json };
+enum class LogFormat { plain, json };
 
+// A key of an event with its value as text.
 struct Field {
     Field(std::string_view key, std::string_view text) : name(key), value(text) {}
     Field(std::string_view key, const char *text) : name(key), value(text) {}
@@ -28,30 +29,31 @@
         text << number;
         value = text.str();
     }
-    std::string name, value;
+    std::string name;
+    std::string value;
 };
 
 class Log {
   public:
-    Log(std::ostream &out, const std::string &name, Level least, Form form = Form::plain);
+    Log(std::ostream &out, const std::string &name, Level min_level, LogFormat format = LogFormat::plain);
     ~Log();
     Log(const Log &) = delete;
 
     template <class... Parts> void operator()(Level level, const Parts &...parts) const {
-        if (level < least_) return;
+        if (level < min_level_) return;
         std::ostringstream line;
         (line << ... << parts);
-        say(level, line.str());
+        write_text(level, line.str());
     }
-    // A change worth counting, by its name in docs/events.md.
+    // Logs an event by its name in docs/events.md.
     void event(Level level, std::string_view name, const std::vector<Field> &fields) const;
 
   private:
-    void say(Level level, const std::string &text) const;
+    void write_text(Level level, const std::string &text) const;
     void write(Level level, const std::string &text) const;
 
-    Level least_;
-    Form form_;
+    Level min_level_;
+    LogFormat format_;
     std::unique_ptr<spdlog::logger> logger_;
 };
 
--- a/src/base/networks.hpp
+++ b/src/base/networks.hpp
@@ -1,6 +1,6 @@
-// Which group an address belongs to: networks of IPv4 and IPv6 by longest prefix, in a table that is built
-// once and never changed. IPv4 and what IPv6 writes for it (::ffff:a.b.c.d, RFC 4291 section 2.5.5.2) are
-// one.
+// IP networks, and a table that maps an address to a group by longest prefix. The table is built once and
+// never changed. An IPv4 address and its IPv4-mapped IPv6 form (::ffff:a.b.c.d, RFC 4291 section 2.5.5.2) are
+// equal.
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
@@ -12,53 +12,56 @@
 
 namespace pineridge {
 
-// An address as a number of 128 bits.
-struct Number {
-    std::uint64_t high = 0, low = 0;
-    auto operator<=>(const Number &) const = default;
+// An address as 128 bits in host order; IPv4 addresses are stored in their IPv4-mapped form.
+struct AddressBits {
+    std::uint64_t high = 0;
+    std::uint64_t low = 0;
+    auto operator<=>(const AddressBits &) const = default;
 };
 
-Number number_of(const boost::asio::ip::address &address);
-boost::asio::ip::address address_of(const Number &number);
+AddressBits to_address_bits(const boost::asio::ip::address &address);
+boost::asio::ip::address to_address(const AddressBits &bits);
 
-// The number with all but its first bits cleared. IPv4 lies in the last 32 of 128 bits.
-Number cut(const Number &number, int bits);
+// Clears all but the first `prefix_length` bits, which count from 0 to 128 for IPv4 as well.
+AddressBits mask_to_prefix(const AddressBits &bits, int prefix_length);
 
 struct Network {
-    Number first;
-    int bits = 0; // 0 to 128
+    AddressBits first;
+    int prefix_length = 0; // 0 to 128; IPv4 prefixes start at 96
     auto operator<=>(const Network &) const = default;
-    Number last() const;
-    bool holds(const Number &at) const { return cut(at, bits) == first; }
-    std::string text() const;
+    AddressBits last() const; // the highest address in the network
+    bool contains(const AddressBits &address) const {
+        return mask_to_prefix(address, prefix_length) == first;
+    }
+    std::string text() const; // in CIDR notation
 };
 
-// "10.0.0.0/8", "2001:db8::/32", or an address alone. Throws BadInput that says what is wrong; bits set
-// behind the prefix are an error, as they mostly mean another network than the one written.
+// Parses "10.0.0.0/8", "2001:db8::/32" or a single address. Throws BadInput that states the fault. Host bits
+// behind the prefix are an error, because such a text usually means another network than the one written.
 Network read_network(const std::string &text);
 
-class Networks {
+class NetworkTable {
   public:
     struct Entry {
         Network network;
         int group = 0;
     };
 
-    Networks() = default;
-    // Throws BadInput where one network stands in two groups.
-    explicit Networks(std::vector<Entry> entries);
+    NetworkTable() = default;
+    // Throws BadInput if one network is in two groups.
+    explicit NetworkTable(std::vector<Entry> entries);
 
     static constexpr int kNone = -1;
-    int group_of(const Number &address) const; // that of the longest prefix; kNone
-    const Entry *entry_of(const Number &address) const; // it lies in this; null
+    int group_of(const AddressBits &address) const; // by longest prefix; kNone outside all networks
+    const Entry *entry_of(const AddressBits &address) const; // by longest prefix; null outside all networks
     std::size_t size() const { return entries_.size(); }
 
   private:
-    std::vector<Entry> entries_; // by first address, the wider first
-    // From each start on, up to the next, addresses are of one entry: looked up by binary search. Starts
-    // stand alone, so that a search touches few lines of the cache.
-    std::vector<Number> starts_;
-    std::vector<std::int32_t> at_; // into entries_; kNone
+    std::vector<Entry> entries_; // sorted by first address, wider networks first
+    // Address ranges, found by binary search: addresses from one start up to the next belong to one entry.
+    // The starts are stored apart from the indices, so that a search touches few cache lines.
+    std::vector<AddressBits> starts_;
+    std::vector<std::int32_t> entry_indices_; // by range, into entries_; kNone outside all networks
 };
 
 } // namespace pineridge
--- a/src/cli/admission.cpp
+++ b/src/cli/admission.cpp
@@ -1,5 +1,5 @@
-// `admission show` and `admission explain ADDRESS`: what the settings' rules come to, worked out as a router
-// does that has nobody in it yet.
+// `admission show` and `admission explain ADDRESS`: the effect of the settings' admission rules on a router
+// without connections.
 #include "admission/connection_limiter.hpp"
 #include "base/bad_input.hpp"
 #include "cli/commands.hpp"
@@ -12,15 +12,16 @@
 
 namespace {
 
-struct Asked {
-    std::string settings, address;
-    std::size_t room = 586; // of a router with 1,024 descriptors
+struct Options {
+    std::string settings_file;
+    std::string address;
+    std::size_t room = 586; // client connections of a router with 1024 descriptors
 };
 
-Entrance entrance_of(const Asked &asked) {
-    const Wishes wishes = load_wishes_file(asked.settings);
-    if (!wishes.entrance) throw BadInput(asked.settings + ": admission: missing");
-    return *wishes.entrance;
+AdmissionSettings load_admission_settings(const Options &options) {
+    const Settings settings = load_settings_file(options.settings_file);
+    if (!settings.admission) throw BadInput(options.settings_file + ": admission: missing");
+    return *settings.admission;
 }
 
 void print_bound(const char *name, double bound) {
@@ -31,66 +32,66 @@
         std::cout << "unbounded";
 }
 
-int show(const Asked &asked) {
-    const Entrance rules = entrance_of(asked);
+int show(const Options &options) {
+    const AdmissionSettings rules = load_admission_settings(options);
     std::cout << (rules.observe ? "observing: nothing is refused" : "enforced") << ", networks "
               << rules.networks.size() << ", fronts " << rules.fronts.size() << "\n";
     for (const Crowd &crowd : rules.crowds) {
-        std::cout << "crowd " << crowd.name << ": weight " << crowd.weight << ", reserve " << crowd.reserve;
-        print_bound("connections", crowd.most);
-        print_bound("of an address", crowd.per_address);
-        print_bound("of a network", crowd.per_network);
-        print_bound("opened a second by an address", crowd.opens);
+        std::cout << "crowd " << crowd.name << ": weight " << crowd.weight << ", reserve "
+                  << crowd.reserved_connections;
+        print_bound("connections", crowd.max_connections);
+        print_bound("of an address", crowd.max_per_address);
+        print_bound("of a network", crowd.max_per_network);
+        print_bound("opened a second by an address", crowd.opens_per_s);
         std::cout << "\n";
     }
     for (const Quota &quota : rules.quotas)
         std::cout << "quota of " << (quota.customer.empty() ? "all customers" : "customer " + quota.customer)
                   << ", " << (quota.method.empty() ? "all methods" : "method " + quota.method) << ": "
-                  << quota.rate << " RPCs a second over all routers, " << quota.burst << " at once\n";
+                  << quota.rpcs_per_s << " RPCs a second over all routers, " << quota.burst << " at once\n";
     if (rules.retry_share > 0)
-        std::cout << "retries: " << rules.retry_share * 100 << "% of first tries, and " << rules.retry_least
-                  << " a second\n";
-    if (rules.late_aim > 0)
-        std::cout << "lateness: RPCs under way are bounded while what clients send lies unread for over "
-                  << static_cast<double>(rules.late_aim) / 10 << " ms\n";
+        std::cout << "retries: " << rules.retry_share * 100 << "% of first tries, and "
+                  << rules.min_retries_per_s << " a second\n";
+    if (rules.max_lateness > 0)
+        std::cout << "lateness: RPCs in flight are bounded while received bytes lie unread for over "
+                  << static_cast<double>(rules.max_lateness) / 10 << " ms\n";
     return 0;
 }
 
-int explain(const Asked &asked) {
-    const Entrance rules = entrance_of(asked);
-    boost::system::error_code failed;
-    const auto address = boost::asio::ip::make_address(asked.address, failed);
-    if (failed) throw BadInput("address: not one of IPv4 or IPv6: " + asked.address);
-    const Number number = number_of(address);
-    const admission::ConnectionLimiter limiter(rules, asked.room, 0);
-    std::cout << limiter.explain(number, 0);
+int explain(const Options &options) {
+    const AdmissionSettings rules = load_admission_settings(options);
+    boost::system::error_code error;
+    const auto address = boost::asio::ip::make_address(options.address, error);
+    if (error) throw BadInput("address: not one of IPv4 or IPv6: " + options.address);
+    const AddressBits bits = to_address_bits(address);
+    const admission::ConnectionLimiter limiter(rules, options.room, 0);
+    std::cout << limiter.explain(bits, 0);
     for (const Network &front : rules.fronts)
-        if (front.holds(number))
-            std::cout << "a front, by " << front.text()
-                      << ": its connections begin with a PROXY header, and what holds "
-                      << "is told by the address in it\n";
-    if (rules.observe) std::cout << "observing: what would be refused is counted and let in\n";
+        if (front.contains(bits))
+            std::cout << "a front, by " << front.text() << ": its connections begin with a PROXY header, and "
+                      << "the address in it selects the rules\n";
+    if (rules.observe) std::cout << "observing: what would be refused is counted and admitted\n";
     return 0;
 }
 
 } // namespace
 
 Command admission(CLI::App &app) {
-    auto asked = std::make_shared<Asked>();
-    auto *said = app.add_subcommand("admission", "what the rules of admission come to");
-    said->require_subcommand(1);
-    auto *shows = said->add_subcommand("show", "all crowds, quotas and bounds");
-    auto *explains = said->add_subcommand("explain", "what holds for an address, and why");
-    for (CLI::App *one : {shows, explains})
-        one->add_option("--settings", asked->settings, "our own settings, as XML")
+    auto options = std::make_shared<Options>();
+    auto *command = app.add_subcommand("admission", "shows the effect of the admission rules");
+    command->require_subcommand(1);
+    auto *show_command = command->add_subcommand("show", "prints all crowds, quotas and bounds");
+    auto *explain_command = command->add_subcommand("explain", "prints the rules that apply to an address");
+    for (CLI::App *subcommand : {show_command, explain_command})
+        subcommand->add_option("--settings", options->settings_file, "settings file, as XML")
             ->envname("PINERIDGE_SETTINGS")
             ->required();
-    explains->add_option("ADDRESS", asked->address, "of IPv4 or IPv6")->required();
-    explains->add_option("--room", asked->room, "connections of clients that the router holds")
+    explain_command->add_option("ADDRESS", options->address, "IPv4 or IPv6 address")->required();
+    explain_command->add_option("--room", options->room, "client connections that the router may hold")
         ->capture_default_str();
-    return [shows, explains, asked]() -> std::optional<int> {
-        if (shows->parsed()) return show(*asked);
-        if (explains->parsed()) return explain(*asked);
+    return [show_command, explain_command, options]() -> std::optional<int> {
+        if (show_command->parsed()) return show(*options);
+        if (explain_command->parsed()) return explain(*options);
         return std::nullopt;
     };
 }
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -1,3 +1,4 @@
+// `check`: reads the configuration and the settings and reports whether a router can start with them.
 #include "cli/commands.hpp"
 #include "router/start.hpp"
 #include "settings/read.hpp"
@@ -8,41 +9,43 @@
 namespace pineridge::cli {
 
 Command check(CLI::App &app) {
-    struct Asked {
-        std::string path, settings;
+    struct Options {
+        std::string config_file;
+        std::string settings_file;
     };
-    auto asked = std::make_shared<Asked>();
-    auto *said =
-        app.add_subcommand("check", "read configuration and settings and say whether they are sound");
-    auto *config =
-        said->add_option("--config", asked->path, "configuration, as JSON")->envname("BALANCER_CONFIG");
-    auto *settings = said->add_option("--settings", asked->settings, "our own settings, as XML")
-                         ->envname("PINERIDGE_SETTINGS");
-    return [said, config, settings, asked]() -> std::optional<int> {
-        if (!said->parsed()) return std::nullopt;
-        if (config->empty() && settings->empty()) throw BadInput("--config or --settings: one is needed");
-        std::optional<Wishes> wishes;
-        if (!settings->empty()) {
-            wishes = load_wishes_file(asked->settings);
-            std::cout << "sound: " << asked->settings;
-            if (const auto &scheme = wishes->release)
-                std::cout << ", cells " << scheme->cells() << ", stages " << scheme->stages.size() - 1
-                          << ", freezes " << scheme->freezes.size() << ", dependencies "
-                          << scheme->needs.size();
-            if (wishes->registry) std::cout << ", registry endpoints " << wishes->registry->endpoints.size();
-            if (const auto &entrance = wishes->entrance)
-                std::cout << ", crowds " << entrance->crowds.size() << ", networks "
-                          << entrance->networks.size();
+    auto options = std::make_shared<Options>();
+    auto *command = app.add_subcommand("check", "checks that the configuration and the settings are valid");
+    auto *config_option = command->add_option("--config", options->config_file, "configuration file, as JSON")
+                              ->envname("BALANCER_CONFIG");
+    auto *settings_option = command->add_option("--settings", options->settings_file, "settings file, as XML")
+                                ->envname("PINERIDGE_SETTINGS");
+    return [command, config_option, settings_option, options]() -> std::optional<int> {
+        if (!command->parsed()) return std::nullopt;
+        if (config_option->empty() && settings_option->empty())
+            throw BadInput("--config or --settings is required");
+        std::optional<Settings> settings;
+        if (!settings_option->empty()) {
+            settings = load_settings_file(options->settings_file);
+            std::cout << "sound: " << options->settings_file;
+            if (const auto &release = settings->release)
+                std::cout << ", cells " << release->cell_count() << ", stages " << release->stages.size() - 1
+                          << ", freezes " << release->freezes.size() << ", dependencies "
+                          << release->dependencies.size();
+            if (settings->registry)
+                std::cout << ", registry endpoints " << settings->registry->endpoints.size();
+            if (const auto &admission = settings->admission)
+                std::cout << ", crowds " << admission->crowds.size() << ", networks "
+                          << admission->networks.size();
             std::cout << '\n';
         }
-        if (config->empty()) return 0;
+        if (config_option->empty()) return 0;
         const router::Start start =
-            router::read_start_file(asked->path, [](const char *name) { return std::getenv(name); });
-        if (wishes && wishes->release) router::check_fits(start, *wishes->release);
-        if (wishes && wishes->entrance) router::check_fits(start, *wishes->entrance);
-        if (wishes && !wishes->rehearsal.empty()) {
-            router::read_rehearsed(start, wishes->rehearsal);
-            std::cout << "sound: " << wishes->rehearsal << ", to be rehearsed\n";
+            router::read_start_file(options->config_file, [](const char *name) { return std::getenv(name); });
+        if (settings && settings->release) router::check_fits(start, *settings->release);
+        if (settings && settings->admission) router::check_fits(start, *settings->admission);
+        if (settings && !settings->rehearsal.empty()) {
+            router::read_rehearsed(start, settings->rehearsal);
+            std::cout << "sound: " << settings->rehearsal << ", to be rehearsed\n";
         }
         std::cout << "sound: " << start.name << ", methods " << start.names.methods.size() << ", descriptors "
                   << start.limits.descriptors << '\n';
--- a/src/cli/commands.hpp
+++ b/src/cli/commands.hpp
@@ -1,5 +1,5 @@
-// The sub-commands: each adds itself to the command line, and answers with the exit status when it was asked
-// for.
+// The subcommands. Each function adds its subcommand to the command line and returns the function that runs
+// it.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -9,7 +9,8 @@
 
 namespace pineridge::cli {
 
-using Command = std::function<std::optional<int>()>; // nothing where another one was asked for
+// Runs the subcommand and returns its exit status, or nothing if another subcommand was given.
+using Command = std::function<std::optional<int>()>;
 
 Command serve(CLI::App &app);
 Command check(CLI::App &app);
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,5 @@
-// The command line. Exit status 0: done; 1: failed; 2: what was told cannot be used.
+// The command line. Exit status 0: success; 1: failure; 2: the configuration, settings or options are
+// invalid.
 #include "base/bad_input.hpp"
 #include "cli/commands.hpp"
 
@@ -7,7 +8,7 @@
 
 int main(int argc, char **argv) {
     using namespace pineridge;
-    CLI::App app("pineridge: a front tier that watches over software updates");
+    CLI::App app("pineridge: an RPC router that supervises software updates");
     app.require_subcommand(1);
     const std::vector<cli::Command> commands{cli::serve(app),   cli::check(app),    cli::version(app),
                                              cli::release(app), cli::registry(app), cli::admission(app)};
@@ -18,8 +19,8 @@
     } catch (const BadInput &bad) {
         std::cerr << "pineridge: configuration: " << bad.what() << '\n';
         return 2;
-    } catch (const std::exception &failed) {
-        std::cerr << "pineridge: " << failed.what() << '\n';
+    } catch (const std::exception &error) {
+        std::cerr << "pineridge: " << error.what() << '\n';
     }
     return 1;
 }
--- a/src/cli/now.hpp
+++ b/src/cli/now.hpp
@@ -1,4 +1,4 @@
-// The calendar's time as the program counts it: ticks since the Unix epoch.
+// The wall-clock time in ticks since the Unix epoch.
 #pragma once
 
 #include "base/limits.hpp"
@@ -9,7 +9,7 @@
 namespace pineridge::cli {
 
 inline Ticks clock_now() {
-    return std::chrono::floor<Tick>(std::chrono::system_clock::now().time_since_epoch()).count();
+    return std::chrono::floor<TickDuration>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
 } // namespace pineridge::cli
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -1,5 +1,6 @@
-// `registry dump`, `watch` and `diff`: what a registry holds, what changes in it, and how that differs from
-// the list that a router last kept on disk. Each follows the registry as a router does, by the same settings.
+// `registry dump`, `watch` and `diff`: print the registry's hosts, their changes, and the differences from
+// the host list that a router cached on disk. Each follows the registry as a router does, with the same
+// settings.
 #include "cli/commands.hpp"
 #include "cli/now.hpp"
 
@@ -19,21 +20,24 @@
 
 using namespace membership;
 
-struct Asked {
-    std::string settings, known;
-    double for_s = 0, wait_s = 5;
+struct Options {
+    std::string settings_file;
+    std::string cache_file;
+    double for_s = 0; // 0: until a signal
+    double wait_s = 5;
 };
 
-// Without a configuration the names of zones and kinds are not known: only what needs none is read.
+// The names of zones and kinds come from a configuration, which this command does not have, so a host's zone
+// and kind are not read.
 Member read_host(const std::string &, std::string_view value) {
     const json from = json::parse(value, nullptr, false);
-    if (!from.is_object()) wrong("value", "not an object");
+    if (!from.is_object()) throw_field_error("value", "not an object");
     Member member{};
-    member.entry.id = text(from, "id");
-    member.entry.status = word<HostStatus>(
+    member.entry.id = read_string(from, "id");
+    member.entry.status = read_enum<HostStatus>(
         from, "state", {{"in_service", HostStatus::ready}, {"terminating", HostStatus::draining}});
-    member.address = read_address(text(from, "addr"), "addr");
-    if (has(from, "version_no")) member.entry.build = whole(from, "version_no");
+    member.address = read_address(read_string(from, "addr"), "addr");
+    if (has_field(from, "version_no")) member.entry.build = read_int(from, "version_no");
     return member;
 }
 
@@ -51,25 +55,25 @@
     out << "\n";
 }
 
-// Follows a registry on a loop of its own until told to stop.
-struct Follow {
-    explicit Follow(const Asked &asked)
-        : wishes(load_wishes_file(asked.settings)), log(std::cerr, "registry", Level::warning) {
-        if (!wishes.registry) throw BadInput(asked.settings + ": registry: missing");
-        access = make_access(*wishes.registry);
-        Plot plot = make_plot(*wishes.registry, access, read_host, static_cast<std::uint64_t>(clock_now()));
+// Follows a registry on its own event loop for as long as it exists.
+struct RegistryFollower {
+    explicit RegistryFollower(const Options &options)
+        : settings(load_settings_file(options.settings_file)), log(std::cerr, "registry", Level::warning) {
+        if (!settings.registry) throw BadInput(options.settings_file + ": registry: missing");
+        access = make_access(*settings.registry);
+        Plot plot = make_plot(*settings.registry, access, read_host, static_cast<std::uint64_t>(clock_now()));
         plot.known_file.clear();
-        plot.ends.spread = 0; // a person waits
+        plot.ends.spread = 0; // an operator waits for the result
         source.emplace(io, std::move(plot), read_host, limits, log, static_cast<std::uint64_t>(clock_now()),
                        clock_now, [this](const Listing &listing) {
-                           if (told) told(listing);
+                           if (on_listing) on_listing(listing);
                        });
     }
-    ~Follow() {
+    ~RegistryFollower() {
         source->stop();
         io.run_for(std::chrono::milliseconds(50));
     }
-    // Until the whole has been read.
+    // Runs until the registry has been read in full. Throws std::runtime_error after `wait_s`.
     const View &read(double wait_s) {
         source->begin();
         const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(wait_s);
@@ -81,18 +85,18 @@
         return source->view();
     }
 
-    const Wishes wishes;
+    const Settings settings;
     boost::asio::io_context io;
     const Limits limits{};
     const Log log;
     Access access;
-    std::function<void(const Listing &)> told;
+    std::function<void(const Listing &)> on_listing;
     std::optional<Source> source;
 };
 
-int dump(const Asked &asked) {
-    Follow follow(asked);
-    const View &view = follow.read(asked.wait_s);
+int dump(const Options &options) {
+    RegistryFollower follower(options);
+    const View &view = follower.read(options.wait_s);
     std::cout << "revision " << view.revision() << ", age " << view.age() / 10 << " ms, hosts " << view.size()
               << ", unreadable " << view.unreadable() << "\n";
     for (const Record &record : view.records()) print(std::cout, record);
@@ -100,79 +104,86 @@
     return 0;
 }
 
-int watch(const Asked &asked) {
-    Follow follow(asked);
-    follow.told = [&](const Listing &listing) {
+int watch(const Options &options) {
+    RegistryFollower follower(options);
+    follower.on_listing = [&](const Listing &listing) {
         for (const Member &member : listing.members)
             std::cout << clock_now() / 10 << " " << member.entry.id << " " << name_of(member.entry.status)
                       << " build " << member.entry.build << std::endl;
     };
-    const View &view = follow.read(asked.wait_s);
+    const View &view = follower.read(options.wait_s);
     std::cout << clock_now() / 10 << " revision " << view.revision() << ", hosts " << view.size()
               << std::endl;
-    boost::asio::signal_set signals(follow.io, SIGINT, SIGTERM);
-    bool over = false;
-    signals.async_wait([&](boost::system::error_code, int) { over = true; });
-    const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(asked.for_s);
-    while (!over && (asked.for_s <= 0 || std::chrono::steady_clock::now() < until))
-        follow.io.run_one_for(std::chrono::milliseconds(50));
+    boost::asio::signal_set signals(follower.io, SIGINT, SIGTERM);
+    bool stopped = false;
+    signals.async_wait([&](boost::system::error_code, int) { stopped = true; });
+    const auto until = std::chrono::steady_clock::now() + std::chrono::duration<double>(options.for_s);
+    while (!stopped && (options.for_s <= 0 || std::chrono::steady_clock::now() < until))
+        follower.io.run_one_for(std::chrono::milliseconds(50));
     signals.cancel();
     return 0;
 }
 
-// 0: they are the same; 1: they differ.
-int diff(const Asked &asked) {
-    Follow follow(asked);
-    const std::string path = asked.known.empty() ? follow.wishes.registry->known_file : asked.known;
-    if (path.empty()) throw BadInput("--known: no file here, nor known-file in the settings");
+// Returns 0 if registry and cached list are the same, and 1 if they differ.
+int diff(const Options &options) {
+    RegistryFollower follower(options);
+    const std::string path =
+        options.cache_file.empty() ? follower.settings.registry->cache_file : options.cache_file;
+    if (path.empty()) throw BadInput("--known: not given, and the settings have no known-file");
     const auto bytes = load(path, 64u << 20);
-    if (!bytes) throw BadInput(path + ": not there, or over 64 MB");
+    if (!bytes) throw BadInput(path + ": missing, or over 64 MB");
     std::string why;
-    const auto known = unpack(*bytes, follow.wishes.registry->prefix, why);
-    if (!known) throw BadInput(path + ": " + why);
-    const View &view = follow.read(asked.wait_s);
-    std::map<std::string, std::string> kept(known->pairs.begin(), known->pairs.end()), held;
-    for (const Record &record : view.records()) held[record.key] = record.value;
-    std::cout << "kept: revision " << known->rev << ", age " << clock_now() / 10 - known->written
+    const auto cached = unpack(*bytes, follower.settings.registry->prefix, why);
+    if (!cached) throw BadInput(path + ": " + why);
+    const View &view = follower.read(options.wait_s);
+    std::map<std::string, std::string> cached_values(cached->pairs.begin(), cached->pairs.end());
+    std::map<std::string, std::string> registry_values;
+    for (const Record &record : view.records()) registry_values[record.key] = record.value;
+    std::cout << "cached: revision " << cached->rev << ", age " << clock_now() / 10 - cached->written
               << " ms; registry: revision " << view.revision() << "\n";
-    int differ = 0;
-    for (const auto &[key, value] : kept) {
-        const auto at = held.find(key);
-        if (at != held.end() && at->second == value) continue;
-        ++differ;
-        std::cout << (at == held.end() ? "- " : "~ ") << key << " " << value;
-        if (at != held.end()) std::cout << " -> " << at->second;
+    int differences = 0;
+    for (const auto &[key, value] : cached_values) {
+        const auto at = registry_values.find(key);
+        if (at != registry_values.end() && at->second == value) continue;
+        ++differences;
+        std::cout << (at == registry_values.end() ? "- " : "~ ") << key << " " << value;
+        if (at != registry_values.end()) std::cout << " -> " << at->second;
         std::cout << "\n";
     }
-    for (const auto &[key, value] : held)
-        if (!kept.count(key)) ++differ, std::cout << "+ " << key << " " << value << "\n";
-    std::cout << (differ == 0 ? "the same\n" : std::to_string(differ) + " differ\n");
-    return differ == 0 ? 0 : 1;
+    for (const auto &[key, value] : registry_values)
+        if (!cached_values.count(key)) {
+            ++differences;
+            std::cout << "+ " << key << " " << value << "\n";
+        }
+    std::cout << (differences == 0 ? "the same\n" : std::to_string(differences) + " differ\n");
+    return differences == 0 ? 0 : 1;
 }
 
 } // namespace
 
 Command registry(CLI::App &app) {
-    auto asked = std::make_shared<Asked>();
-    auto *said = app.add_subcommand("registry", "the registry that the list of hosts comes from");
-    said->require_subcommand(1);
-    auto *dumped = said->add_subcommand("dump", "what it holds, and at which revision");
-    auto *watched = said->add_subcommand("watch", "what changes in it, until a signal");
-    auto *compared =
-        said->add_subcommand("diff", "what it holds against the list that a router kept on disk");
-    for (auto *command : {dumped, watched, compared}) {
-        command->add_option("--settings", asked->settings, "our own settings, as XML")
+    auto options = std::make_shared<Options>();
+    auto *command = app.add_subcommand("registry", "inspects the registry that holds the list of hosts");
+    command->require_subcommand(1);
+    auto *dump_command = command->add_subcommand("dump", "prints its hosts and its revision");
+    auto *watch_command = command->add_subcommand("watch", "prints its changes until a signal");
+    auto *diff_command =
+        command->add_subcommand("diff", "compares its hosts with the list that a router cached on disk");
+    for (auto *subcommand : {dump_command, watch_command, diff_command}) {
+        subcommand->add_option("--settings", options->settings_file, "settings file, as XML")
             ->envname("PINERIDGE_SETTINGS")
             ->required();
-        command->add_option("--wait-s", asked->wait_s, "for the whole to be read")
+        subcommand->add_option("--wait-s", options->wait_s, "seconds to wait for a full read")
             ->check(CLI::PositiveNumber);
     }
-    watched->add_option("--for-s", asked->for_s, "ends by itself after so long")->check(CLI::PositiveNumber);
-    compared->add_option("--known", asked->known, "the file, else that of the settings");
+    watch_command->add_option("--for-s", options->for_s, "seconds after which the command ends")
+        ->check(CLI::PositiveNumber);
+    diff_command->add_option("--known", options->cache_file,
+                             "the cached list; by default that of the settings");
     return [=]() -> std::optional<int> {
-        if (dumped->parsed()) return dump(*asked);
-        if (watched->parsed()) return watch(*asked);
-        if (compared->parsed()) return diff(*asked);
+        if (dump_command->parsed()) return dump(*options);
+        if (watch_command->parsed()) return watch(*options);
+        if (diff_command->parsed()) return diff(*options);
         return std::nullopt;
     };
 }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -1,3 +1,4 @@
+// `serve`: runs the router.
 #include "cli/commands.hpp"
 #include "router/service.hpp"
 #include "settings/read.hpp"
@@ -10,22 +11,23 @@
 
 namespace {
 
-struct Asked {
-    std::string path, settings;
+struct Options {
+    std::string config_file;
+    std::string settings_file;
     Level level = Level::info;
-    Form form = Form::plain;
+    LogFormat format = LogFormat::plain;
 };
 
-int run(const Asked &asked) {
+int run(const Options &options) {
     const router::Environment environment = [](const char *name) { return std::getenv(name); };
-    router::Start start = router::read_start_file(asked.path, environment);
-    if (!asked.settings.empty()) {
-        start.wishes_again = [path = asked.settings] { return load_wishes_file(path); };
+    router::Start start = router::read_start_file(options.config_file, environment);
+    if (!options.settings_file.empty()) {
+        start.wishes_again = [file = options.settings_file] { return load_settings_file(file); };
         router::take_wishes(start, start.wishes_again());
     }
-    const Log log(std::cerr, start.name, asked.level, asked.form);
+    const Log log(std::cerr, start.name, options.level, options.format);
     boost::asio::io_context io(1);
-    const router::Service service(io, asked.path, environment, start, log, [&] { io.stop(); });
+    const router::Service service(io, options.config_file, environment, start, log, [&] { io.stop(); });
     io.run();
     log(Level::info, "left");
     return 0;
@@ -36,23 +38,24 @@
 Command serve(CLI::App &app) {
     static const std::map<std::string, Level> levels{
         {"debug", Level::debug}, {"info", Level::info}, {"warning", Level::warning}, {"error", Level::error}};
-    static const std::map<std::string, Form> forms{{"plain", Form::plain}, {"json", Form::json}};
-    auto asked = std::make_shared<Asked>();
-    auto *said = app.add_subcommand("serve", "serve clients until SIGTERM");
-    said->add_option("--config", asked->path, "configuration, as JSON")
+    static const std::map<std::string, LogFormat> formats{{"plain", LogFormat::plain},
+                                                          {"json", LogFormat::json}};
+    auto options = std::make_shared<Options>();
+    auto *command = app.add_subcommand("serve", "serves clients until SIGTERM");
+    command->add_option("--config", options->config_file, "configuration file, as JSON")
         ->envname("BALANCER_CONFIG")
         ->required();
-    said->add_option("--settings", asked->settings, "our own settings, as XML")
+    command->add_option("--settings", options->settings_file, "settings file, as XML")
         ->envname("PINERIDGE_SETTINGS");
-    said->add_option("--log-level", asked->level, "least level of log lines")
+    command->add_option("--log-level", options->level, "lowest level of log lines")
         ->envname("BALANCER_LOG_LEVEL")
         ->transform(CLI::CheckedTransformer(levels, CLI::ignore_case));
-    said->add_option("--log-form", asked->form, "plain or json")
+    command->add_option("--log-form", options->format, "format of log lines: plain or json")
         ->envname("PINERIDGE_LOG_FORM")
-        ->transform(CLI::CheckedTransformer(forms, CLI::ignore_case));
-    return [said, asked]() -> std::optional<int> {
-        if (!said->parsed()) return std::nullopt;
-        return run(*asked);
+        ->transform(CLI::CheckedTransformer(formats, CLI::ignore_case));
+    return [command, options]() -> std::optional<int> {
+        if (!command->parsed()) return std::nullopt;
+        return run(*options);
     };
 }
 
--- a/src/cli/version.cpp
+++ b/src/cli/version.cpp
@@ -1,3 +1,4 @@
+// `version`: prints the program's version.
 #include "cli/commands.hpp"
 
 #include <iostream>
@@ -5,9 +6,9 @@
 namespace pineridge::cli {
 
 Command version(CLI::App &app) {
-    const auto *said = app.add_subcommand("version", "print the version");
-    return [said]() -> std::optional<int> {
-        if (!said->parsed()) return std::nullopt;
+    const auto *command = app.add_subcommand("version", "prints the version");
+    return [command]() -> std::optional<int> {
+        if (!command->parsed()) return std::nullopt;
         std::cout << "pineridge " << PINERIDGE_VERSION << '\n';
         return 0;
     };
--- a/src/membership/access.hpp
+++ b/src/membership/access.hpp
@@ -16,9 +16,9 @@
 };
 
 // Throws BadInput naming the key or the file; std::runtime_error where the library of TLS is not there.
-Access make_access(const Registry &from);
+Access make_access(const RegistrySettings &from);
 
 // The plot for a source; `access` must outlive it.
-Plot make_plot(const Registry &from, const Access &access, const ReadValue &read, std::uint64_t seed);
+Plot make_plot(const RegistrySettings &from, const Access &access, const ReadValue &read, std::uint64_t seed);
 
 } // namespace pineridge::membership
--- a/src/membership/lease.cpp
+++ b/src/membership/lease.cpp
@@ -4,7 +4,7 @@
 
 namespace pineridge::membership {
 
-void Lease::asked(Instant now, std::optional<Span> hold) { call_ = Call{now, hold}; }
+void Lease::asked(Instant now, std::optional<Milliseconds> hold) { call_ = Call{now, hold}; }
 
 void Lease::answer_begun(Instant now) {
     if (call_ && !call_->begun) call_->begun = now;
--- a/src/membership/lease.hpp
+++ b/src/membership/lease.hpp
@@ -23,16 +23,19 @@
 using Instant = std::chrono::steady_clock::time_point; // of the monotonic clock
 
 struct LeaseRules {
-    Span told_after; // a change counts as told at the latest so long after discovery had it
-    Span watch_overrun; // what a watch that fell silent has missed counts so long after its wait is over
-    Span moved_told; // whatever a discovery at a new address has to tell counts after this
-    Span partial_told; // what an answer holds counts so long after its first byte, read whole or not
-    Span transit; // from an answer's writing until its first byte is read, at most
-    Span stands_after; // a watch that has not ended by then was accepted, and does not wait in a line
-    Span line_full; // a call that fails so soon was turned away by a line that took no more
-    Span line_least; // and one that fails sooner than this was not turned away after a wait in it
-    Span outage_lasts; // discovery is presumed down for so long after it ended a watch, or a first call left
-    Span outage_goes_on; // and after each later call left; less, as it may be back and crowded by then
+    Milliseconds told_after; // a change counts as told at the latest so long after discovery had it
+    Milliseconds
+        watch_overrun; // what a watch that fell silent has missed counts so long after its wait is over
+    Milliseconds moved_told; // whatever a discovery at a new address has to tell counts after this
+    Milliseconds partial_told; // what an answer holds counts so long after its first byte, read whole or not
+    Milliseconds transit; // from an answer's writing until its first byte is read, at most
+    Milliseconds stands_after; // a watch that has not ended by then was accepted, and does not wait in a line
+    Milliseconds line_full; // a call that fails so soon was turned away by a line that took no more
+    Milliseconds line_least; // and one that fails sooner than this was not turned away after a wait in it
+    Milliseconds
+        outage_lasts; // discovery is presumed down for so long after it ended a watch, or a first call left
+    Milliseconds
+        outage_goes_on; // and after each later call left; less, as it may be back and crowded by then
     bool lapses_on_failure = true; // false: an agent beside the router, which learns nothing while it fails
 };
 
@@ -50,7 +53,7 @@
     explicit Lease(const LeaseRules &rules) : rules_(rules) {}
 
     // A call leaves. `hold`: how long discovery may keep it waiting for a change; none: it answers at once.
-    void asked(Instant now, std::optional<Span> hold);
+    void asked(Instant now, std::optional<Milliseconds> hold);
     void answer_begun(Instant now); // its first byte has been read
     void answered(); // it was read whole, and the list brought up to it
     void failed(CallFailure failure, Instant now);
@@ -64,12 +67,12 @@
     bool holds(Instant now) const { return now <= expires(); }
     // In an outage: up to when it is presumed to last. The clock's minimum outside of one.
     Instant outage_until() const;
-    Span stands_after() const { return rules_.stands_after; }
+    Milliseconds stands_after() const { return rules_.stands_after; }
 
   private:
     struct Call {
         Instant asked;
-        std::optional<Span> hold;
+        std::optional<Milliseconds> hold;
         std::optional<Instant> begun{};
         bool stands = false;
     };
--- a/src/membership/pump.cpp
+++ b/src/membership/pump.cpp
@@ -56,7 +56,7 @@
                                        std::function<void()> moved) {
     const auto line = line_ = std::make_shared<Line>(io_, std::move(peer), std::move(moved));
     Fuse fuse(io_.get_executor());
-    fuse.light(line->socket, limits_.platform_connect);
+    fuse.light(line->socket, limits_.platform_connect_timeout);
     const auto [refused] = co_await line->socket.async_connect(address, as_tuple(use_awaitable));
     if (refused || fuse.blown()) {
         line->end();
@@ -69,7 +69,7 @@
     line->peer->begin(clock_());
     kick(line);
     asio::co_spawn(io_, beat(line), asio::detached);
-    std::string room(limits_.read_step, '\0');
+    std::string room(limits_.read_chunk_bytes, '\0');
     while (!line->dead()) {
         const auto [failed, size] =
             co_await line->socket.async_read_some(asio::buffer(room), as_tuple(use_awaitable));
--- a/src/net/http/lines.cpp
+++ b/src/net/http/lines.cpp
@@ -15,20 +15,20 @@
 asio::awaitable<bool> Lines::follow(const Address &address, const std::string &path, const Take &take) {
     socket_ = asio::ip::tcp::socket(io_);
     Fuse fuse(io_.get_executor());
-    fuse.light(socket_, limits_.platform_connect);
+    fuse.light(socket_, limits_.platform_connect_timeout);
     const auto [refused] = co_await socket_.async_connect(address, as_tuple(use_awaitable));
     if (refused || fuse.blown()) co_return false;
-    fuse.light(socket_, limits_.stream_silence);
+    fuse.light(socket_, limits_.stream_silence_timeout);
     if (!co_await write_call(socket_, address, "GET", path, "")) co_return false;
-    Answer answer(limits_.head, limits_.list_body);
+    Answer answer(limits_.max_http_head_bytes, limits_.max_list_body_bytes);
     std::string unread;
-    std::vector<char> room(limits_.read_step);
+    std::vector<char> room(limits_.read_chunk_bytes);
     bool told = false;
     while (!answer.done() && !answer.bad()) {
         const auto [failed, size] =
             co_await socket_.async_read_some(asio::buffer(room), as_tuple(use_awaitable));
         if (failed) break;
-        fuse.light(socket_, limits_.stream_silence);
+        fuse.light(socket_, limits_.stream_silence_timeout);
         answer.feed({room.data(), size});
         if (!answer.headed()) continue;
         if (answer.status() != 200) {
@@ -37,7 +37,7 @@
         }
         told = true;
         unread += answer.take_body();
-        if (!take_lines(unread, take) || unread.size() > limits_.news_line) break;
+        if (!take_lines(unread, take) || unread.size() > limits_.max_stream_line_bytes) break;
     }
     co_return told;
 }
--- a/src/net/http/link.cpp
+++ b/src/net/http/link.cpp
@@ -45,7 +45,7 @@
 }
 
 asio::awaitable<Call> Link::call(std::string_view method, std::string_view path, std::string_view body,
-                                 Span wait, bool resend, Answer &answer) {
+                                 Milliseconds wait, bool resend, Answer &answer) {
     if (socket_.is_open() && !quiet(socket_)) close();
     const bool kept = socket_.is_open();
     const unsigned moves = moves_;
@@ -57,10 +57,10 @@
 }
 
 asio::awaitable<Call> Link::once(std::string_view method, std::string_view path, std::string_view body,
-                                 Span wait, Answer &answer) {
+                                 Milliseconds wait, Answer &answer) {
     if (!socket_.is_open()) {
         socket_ = asio::ip::tcp::socket(io_);
-        fuse_.light(socket_, std::min(wait, limits_.platform_connect));
+        fuse_.light(socket_, std::min(wait, limits_.platform_connect_timeout));
         const auto [failed] = co_await socket_.async_connect(address_, as_tuple(use_awaitable));
         if (failed || fuse_.blown()) {
             close();
@@ -74,7 +74,7 @@
         close();
         co_return Call::unsent;
     }
-    std::vector<char> room(limits_.read_step);
+    std::vector<char> room(limits_.read_chunk_bytes);
     while (!answer.done() && !answer.bad()) {
         const auto [failed, size] =
             co_await socket_.async_read_some(asio::buffer(room), as_tuple(use_awaitable));
@@ -85,7 +85,7 @@
         }
         // Stops an answer that breaks off from being waited for as long as a good one may be held.
         if (!answer.begun()) {
-            fuse_.light(socket_, std::min(wait, limits_.answer_rest));
+            fuse_.light(socket_, std::min(wait, limits_.answer_rest_timeout));
             if (first_byte_) first_byte_();
         }
         answer.feed({room.data(), size});
--- a/src/net/http/link.hpp
+++ b/src/net/http/link.hpp
@@ -24,7 +24,7 @@
 
     // `resend` allows the call once more where a kept connection turns out to have ended.
     asio::awaitable<Call> call(std::string_view method, std::string_view path, std::string_view body,
-                               Span wait, bool resend, Answer &answer);
+                               Milliseconds wait, bool resend, Answer &answer);
     void close();
     bool timed_out() const { return fuse_.blown(); } // the last call ended because its time was over
     void on_first_byte(std::function<void()> read) { first_byte_ = std::move(read); } // of each answer
@@ -35,7 +35,7 @@
 
   private:
     asio::awaitable<Call> once(std::string_view method, std::string_view path, std::string_view body,
-                               Span wait, Answer &answer);
+                               Milliseconds wait, Answer &answer);
 
     asio::io_context &io_;
     Address address_;
--- a/src/release/controller.cpp
+++ b/src/release/controller.cpp
@@ -5,14 +5,15 @@
 using asio::as_tuple;
 using asio::use_awaitable;
 
-Controller::Controller(asio::io_context &io, const Scheme &scheme, const std::vector<std::string> &tenants,
-                       const Limits &limits, const Log &log, const std::string &router, std::uint64_t seed,
-                       Clock clock, ShareHandler on_share_change)
+Controller::Controller(asio::io_context &io, const ReleaseSettings &scheme,
+                       const std::vector<std::string> &tenants, const Limits &limits, const Log &log,
+                       const std::string &router, std::uint64_t seed, Clock clock,
+                       ShareHandler on_share_change)
     : io_(io), limits_(limits), log_(log), clock_(std::move(clock)),
       on_share_change_(std::move(on_share_change)), plan_(scheme) {
-    const int zone = scheme.zone_at(scheme.zone);
+    const int zone = scheme.zone_index(scheme.zone);
     for (const std::string &tenant : tenants) {
-        const int customer = scheme.customer_at(tenant);
+        const int customer = scheme.customer_index(tenant);
         cells_.push_back(customer < 0 ? -1 : scheme.cell(zone, customer));
     }
     if (!scheme.desk.empty())
@@ -29,7 +30,7 @@
 asio::awaitable<void> Controller::run_timer() {
     asio::steady_timer timer(io_);
     for (;;) {
-        timer.expires_after(limits_.plan_beat);
+        timer.expires_after(limits_.plan_interval);
         co_await timer.async_wait(as_tuple(use_awaitable));
         process_plan();
     }
--- a/src/release/controller.hpp
+++ b/src/release/controller.hpp
@@ -13,7 +13,7 @@
 
     // `tenants` are the platform's tenant names, by index. A tenant that is no customer of the scheme belongs
     // to no cell.
-    Controller(asio::io_context &io, const Scheme &scheme, const std::vector<std::string> &tenants,
+    Controller(asio::io_context &io, const ReleaseSettings &scheme, const std::vector<std::string> &tenants,
                const Limits &limits, const Log &log, const std::string &router, std::uint64_t seed,
                Clock clock, ShareHandler on_share_change);
 
--- a/src/release/desk_client.cpp
+++ b/src/release/desk_client.cpp
@@ -21,7 +21,7 @@
 void DeskClient::start() { asio::co_spawn(io_, run(), asio::detached); }
 
 asio::awaitable<void> DeskClient::run() {
-    Span pause = limits_.retry_least;
+    Milliseconds pause = limits_.min_retry_pause;
     for (;;) {
         bool received = false;
         const auto started = std::chrono::steady_clock::now();
@@ -32,22 +32,22 @@
         if (!behind) received = co_await follow_stream();
         if (received && plan_.needs_snapshot() && !behind)
             continue; // an update was missing; the connection has not failed
-        const bool lasted = std::chrono::steady_clock::now() - started > limits_.retry_least;
+        const bool lasted = std::chrono::steady_clock::now() - started > limits_.min_retry_pause;
         pause = received && lasted && !behind
-                    ? limits_.retry_least
-                    : std::clamp(pause * 2, limits_.retry_least, limits_.retry_most);
+                    ? limits_.min_retry_pause
+                    : std::clamp(pause * 2, limits_.min_retry_pause, limits_.max_retry_pause);
         retry_timer_.expires_after(pause * std::uniform_int_distribution(75, 125)(random_) / 100);
         co_await retry_timer_.async_wait(as_tuple(use_awaitable));
     }
 }
 
 asio::awaitable<bool> DeskClient::fetch_snapshot() {
-    http::Answer answer(limits_.head, limits_.snapshot);
-    const http::Call result =
-        co_await snapshot_link_.call("GET", "/release/v1/snapshot", "", limits_.desk_whole, true, answer);
+    http::Answer answer(limits_.max_http_head_bytes, limits_.max_snapshot_bytes);
+    const http::Call result = co_await snapshot_link_.call("GET", "/release/v1/snapshot", "",
+                                                           limits_.desk_snapshot_timeout, true, answer);
     if (result != http::Call::answered || answer.status() != 200) co_return false;
     try {
-        plan_.apply_snapshot(read_snapshot(answer.body(), plan_.scheme().released()));
+        plan_.apply_snapshot(read_snapshot(answer.body(), plan_.scheme().released_stage()));
     } catch (const std::exception &error) {
         log_(Level::warning, "desk: snapshot: ", error.what());
         co_return false;
@@ -65,7 +65,7 @@
 }
 
 bool DeskClient::handle_line(std::string_view line) {
-    const StreamLine received = read_line(line, plan_.scheme().released());
+    const StreamLine received = read_line(line, plan_.scheme().released_stage());
     if (received.resync) {
         plan_.request_snapshot();
     } else {
@@ -77,7 +77,7 @@
 }
 
 void DeskClient::send_opinion(const Opinion &opinion) {
-    if (queue_.size() >= limits_.opinions) queue_.pop_front();
+    if (queue_.size() >= limits_.max_pending_opinions) queue_.pop_front();
     queue_.push_back(write_opinion(opinion, plan_.scheme(), router_));
     if (!std::exchange(sending_, true)) asio::co_spawn(io_, send_queued(), asio::detached);
 }
@@ -86,9 +86,9 @@
     while (!queue_.empty()) {
         const std::string opinion = std::move(queue_.front());
         queue_.pop_front();
-        http::Answer answer(limits_.head, limits_.news_line);
+        http::Answer answer(limits_.max_http_head_bytes, limits_.max_stream_line_bytes);
         const http::Call result = co_await opinion_link_.call("POST", "/release/v1/opinions", opinion,
-                                                              limits_.desk_answer, false, answer);
+                                                              limits_.desk_answer_timeout, false, answer);
         // Without an answer it is unknown whether the desk counted the opinion. The desk's updates will show
         // it, and the plan may give the opinion again.
         if (result != http::Call::answered || answer.status() != 200)
--- a/src/release/freezes.hpp
+++ b/src/release/freezes.hpp
@@ -3,7 +3,7 @@
 // is frozen while any of them covers it.
 #pragma once
 
-#include "settings/scheme.hpp"
+#include "settings/release.hpp"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 class Freezes {
   public:
-    explicit Freezes(const Scheme &scheme) : scheme_(scheme) {
+    explicit Freezes(const ReleaseSettings &scheme) : scheme_(scheme) {
         for (const Freeze &window : scheme.freezes) entries_.push_back({window, true, scheme});
     }
 
@@ -21,7 +21,7 @@
         const auto at = find(freeze.id);
         if (at != entries_.end())
             *at = {freeze, false, scheme_};
-        else if (entries_.size() < scheme_.most_freezes + scheme_.freezes.size())
+        else if (entries_.size() < scheme_.max_freezes + scheme_.freezes.size())
             entries_.push_back({freeze, false, scheme_});
         else
             overflowed_ = true;
@@ -70,10 +70,10 @@
   private:
     static constexpr int kAny = -1, kUnknown = -2;
     struct Entry {
-        Entry(Freeze given, bool from_settings, const Scheme &scheme)
+        Entry(Freeze given, bool from_settings, const ReleaseSettings &scheme)
             : freeze(std::move(given)), configured(from_settings),
-              zone(freeze.zone.empty() ? kAny : scheme.zone_at(freeze.zone)),
-              customer(freeze.customer.empty() ? kAny : scheme.customer_at(freeze.customer)) {
+              zone(freeze.zone.empty() ? kAny : scheme.zone_index(freeze.zone)),
+              customer(freeze.customer.empty() ? kAny : scheme.customer_index(freeze.customer)) {
             if (!freeze.zone.empty() && zone < 0) zone = kUnknown;
             if (!freeze.customer.empty() && customer < 0) customer = kUnknown;
         }
@@ -88,13 +88,13 @@
                matches(entry.customer, customer) &&
                (entry.freeze.service.empty() || entry.freeze.service == service);
     }
-    Ticks end(const Entry &entry) const { return entry.freeze.to + scheme_.settle; }
+    Ticks end(const Entry &entry) const { return entry.freeze.to + scheme_.freeze_settle_time; }
     std::vector<Entry>::iterator find(const std::string &id) {
         return std::find_if(entries_.begin(), entries_.end(),
                             [&](const Entry &entry) { return !entry.configured && entry.freeze.id == id; });
     }
 
-    const Scheme &scheme_;
+    const ReleaseSettings &scheme_;
     std::vector<Entry> entries_;
     bool overflowed_ = false;
 };
--- a/src/release/messages.hpp
+++ b/src/release/messages.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "base/log.hpp"
-#include "settings/scheme.hpp"
+#include "settings/release.hpp"
 
 #include <cstdint>
 #include <string>
@@ -18,7 +18,7 @@
     Kind kind = Kind::offer;
     std::int64_t rev = 0, prev = 0;
     BuildName build{}; // offer, stage, pull
-    std::vector<Need> dependencies{}; // offer
+    std::vector<Dependency> dependencies{}; // offer
     std::string zone{}, customer{}; // stage: both; cap: at most one; ledger: the customer
     int stage = 0; // stage
     // stage, in a snapshot: the cell's stage when a freeze began that still covers it; -1: equal to `stage`
--- a/src/release/plan.cpp
+++ b/src/release/plan.cpp
@@ -18,8 +18,8 @@
 
 } // namespace
 
-Plan::Plan(Scheme scheme)
-    : scheme_(std::move(scheme)), own_zone_(scheme_.zone_at(scheme_.zone)), freezes_(scheme_),
+Plan::Plan(ReleaseSettings scheme)
+    : scheme_(std::move(scheme)), own_zone_(scheme_.zone_index(scheme_.zone)), freezes_(scheme_),
       customer_traffic_(scheme_.customers.size()), last_rpc_at_(scheme_.customers.size()) {
     caps_.push_back({scheme_.cap, scheme_.cap, -1, -1});
     for (int i = 0; i < static_cast<int>(scheme_.zones.size()); ++i)
@@ -84,7 +84,7 @@
 // released in all cells, since no other build could serve the remaining RPCs.
 double Plan::share(const Build &build, int cell) const {
     const int stage = build.cells[cell].stage;
-    if (stage == 0 || build.released_cells == scheme_.cells()) return scheme_.stages[stage];
+    if (stage == 0 || build.released_cells == scheme_.cell_count()) return scheme_.stages[stage];
     const Cap &zone = caps_[1 + scheme_.zone_of(cell)];
     const Cap &customer = caps_[1 + scheme_.zones.size() + scheme_.customer_of(cell)];
     return std::min({scheme_.stages[stage], caps_[0].effective, zone.effective, customer.effective});
@@ -99,7 +99,7 @@
     for (auto &[name, build] : builds_)
         while (build.next_rollback_at >= 0 && build.next_rollback_at <= now_ &&
                !build.unsupported_cells.empty()) {
-            build.next_rollback_at += std::max<Ticks>(1, scheme_.step);
+            build.next_rollback_at += std::max<Ticks>(1, scheme_.rollback_step);
             roll_back_cell(build, build.unsupported_cells.rbegin()->second, "dependency");
         }
     if (now_ < next_check_at_) return;
@@ -178,7 +178,7 @@
         return log_event("release.lift", {{"id", update.freeze.id}});
     case Update::Kind::cap: return update_cap(update, false);
     case Update::Kind::ledger:
-        if (const int customer = scheme_.customer_at(update.customer); customer >= 0)
+        if (const int customer = scheme_.customer_index(update.customer); customer >= 0)
             customer_traffic_[customer] = {update.traffic, update.withdrawn};
         return;
     }
@@ -243,7 +243,7 @@
     freezes_.replace(freezes, now_);
     // A build that the desk no longer offers is pulled, unless it is released in all cells.
     for (auto &[name, build] : builds_)
-        if (!build.pulled && build.released_cells < scheme_.cells() &&
+        if (!build.pulled && build.released_cells < scheme_.cell_count() &&
             (!offered_builds.count(name) || pulled_builds.count(name)))
             pull(build);
     for (const Update *entry : offers)
@@ -268,10 +268,11 @@
         for (const Update *entry : offers) {
             Build *build = find(entry->build);
             if (!build || build->pulled) continue;
-            std::vector<std::uint8_t> cell_stages(scheme_.cells(), 0);
+            std::vector<std::uint8_t> cell_stages(scheme_.cell_count(), 0);
             for (const Update *stage : stages[entry->build])
                 if (const int cell = cell_of(*stage); cell >= 0 && stage->stage >= 0)
-                    cell_stages[cell] = static_cast<std::uint8_t>(std::min(stage->stage, scheme_.released()));
+                    cell_stages[cell] =
+                        static_cast<std::uint8_t>(std::min(stage->stage, scheme_.released_stage()));
             for (std::size_t cell = 0; cell < cell_stages.size(); ++cell) {
                 if (build->cells[cell].desk_stage == cell_stages[cell] &&
                     build->cells[cell].stage == cell_stages[cell])
@@ -297,7 +298,7 @@
     for (const auto &[entry, cell] : cells) {
         const int zone = scheme_.zone_of(cell);
         const int customer = scheme_.customer_of(cell);
-        const int stage = std::clamp(entry->stage, 0, scheme_.released());
+        const int stage = std::clamp(entry->stage, 0, scheme_.released_stage());
         const bool announced_in_window =
             freezes_.configured_covers(build.name.service, zone, customer, now_) &&
             freezes_.configured_covers(build.name.service, zone, customer, entry->announced_at);
@@ -316,14 +317,14 @@
 Plan::Build *Plan::offer(const Update &update) {
     Build *build = find(update.build);
     if (!build) {
-        if (builds_.size() >= scheme_.most_builds && !evict_build()) {
+        if (builds_.size() >= scheme_.max_builds && !evict_build()) {
             log_event("release.refused",
                       {{"build", update.build.text()}, {"why", "limit bounds.builds reached"}});
             return nullptr;
         }
         build = &builds_[update.build];
         build->name = update.build;
-        build->cells.resize(scheme_.cells());
+        build->cells.resize(scheme_.cell_count());
     }
     const bool is_new = build->waves.by_cell.empty() || build->pulled;
     if (is_new) {
@@ -336,9 +337,9 @@
         log_event("release.offer",
                   {{"build", build->name.text()}, {"needs", std::to_string(update.dependencies.size())}});
     }
-    std::vector<Need> dependencies = update.dependencies;
-    for (const Need &dependency : scheme_.needs)
-        if (dependency.of == build->name) dependencies.push_back(dependency);
+    std::vector<Dependency> dependencies = update.dependencies;
+    for (const Dependency &dependency : scheme_.dependencies)
+        if (dependency.dependent == build->name) dependencies.push_back(dependency);
     set_dependencies(*build, std::move(dependencies));
     return build;
 }
@@ -348,7 +349,7 @@
 bool Plan::evict_build() {
     for (auto at = builds_.begin(); at != builds_.end(); ++at) {
         Build &build = at->second;
-        const bool finished = build.pulled || build.released_cells == scheme_.cells();
+        const bool finished = build.pulled || build.released_cells == scheme_.cell_count();
         if (!finished || !build.dependents.empty()) continue;
         if (is_own(build) && !build.pulled) share_changes_.push_back({build.name.number, -1, 1});
         clear_dependencies(build);
@@ -364,11 +365,11 @@
     build.required_builds.clear();
 }
 
-void Plan::set_dependencies(Build &build, std::vector<Need> dependencies) {
+void Plan::set_dependencies(Build &build, std::vector<Dependency> dependencies) {
     clear_dependencies(build);
     build.dependencies = std::move(dependencies);
-    for (const Need &dependency : build.dependencies) {
-        Build *required_build = find(dependency.on);
+    for (const Dependency &dependency : build.dependencies) {
+        Build *required_build = find(dependency.required);
         build.required_builds.push_back(required_build);
         if (required_build && std::find(required_build->dependents.begin(), required_build->dependents.end(),
                                         &build) == required_build->dependents.end())
@@ -381,21 +382,23 @@
 
 // Why the build may enter no cell; empty if it may.
 std::string Plan::find_refusal(const Build &build) const {
-    std::vector<Need> all;
+    std::vector<Dependency> all;
     for (const auto &[name, other] : builds_)
         all.insert(all.end(), other.dependencies.begin(), other.dependencies.end());
-    if (const std::string cycle = way_back(all, build.name); !cycle.empty()) return "needs itself: " + cycle;
-    for (const Need &dependency : build.dependencies) {
-        if (!find(dependency.on))
-            return "needs an unknown build: " + build.name.text() + " -> " + dependency.on.text();
-        if (dependency.stage > scheme_.released()) return "needs an unknown stage of " + dependency.on.text();
+    if (const std::string cycle = dependency_cycle(all, build.name); !cycle.empty())
+        return "needs itself: " + cycle;
+    for (const Dependency &dependency : build.dependencies) {
+        if (!find(dependency.required))
+            return "needs an unknown build: " + build.name.text() + " -> " + dependency.required.text();
+        if (dependency.stage > scheme_.released_stage())
+            return "needs an unknown stage of " + dependency.required.text();
     }
     return "";
 }
 
 int Plan::cell_of(const Update &update) {
-    const int zone = scheme_.zone_at(update.zone);
-    const int customer = scheme_.customer_at(update.customer);
+    const int zone = scheme_.zone_index(update.zone);
+    const int customer = scheme_.customer_index(update.customer);
     if (zone >= 0 && customer >= 0) return scheme_.cell(zone, customer);
     log_event("desk.unknown", {{"zone", update.zone}, {"customer", update.customer}});
     return -1;
@@ -404,7 +407,7 @@
 void Plan::set_desk_stage(Build &build, const Update &update) {
     const int cell = cell_of(update);
     if (cell < 0) return;
-    if (update.stage < 0 || update.stage > scheme_.released())
+    if (update.stage < 0 || update.stage > scheme_.released_stage())
         return log_event("desk.unknown",
                          {{"build", build.name.text()}, {"stage", std::to_string(update.stage)}});
     build.cells[cell].desk_stage = static_cast<std::uint8_t>(update.stage);
@@ -433,7 +436,7 @@
 
 Plan::Cap *Plan::find_cap(const std::string &zone, const std::string &customer) {
     if (zone.empty() && customer.empty()) return &caps_[0];
-    const int at = customer.empty() ? scheme_.zone_at(zone) : scheme_.customer_at(customer);
+    const int at = customer.empty() ? scheme_.zone_index(zone) : scheme_.customer_index(customer);
     if (at < 0 || (!zone.empty() && !customer.empty())) {
         log_event("desk.unknown", {{"zone", zone}, {"customer", customer}});
         return nullptr;
@@ -470,13 +473,13 @@
 // The highest stage of the build that its dependencies allow in this cell.
 int Plan::max_supported_stage(const Build &build, int cell) const {
     if (!build.refusal.empty()) return 0;
-    int supported = scheme_.released();
+    int supported = scheme_.released_stage();
     for (std::size_t i = 0; i < build.dependencies.size(); ++i) {
         const int required_build_stage =
             build.required_builds[i] ? build.required_builds[i]->cells[cell].stage : 0;
         const int required_stage = build.dependencies[i].stage;
-        supported = std::min(supported, required_stage == Need::kMatch           ? required_build_stage
-                                        : required_build_stage >= required_stage ? scheme_.released()
+        supported = std::min(supported, required_stage == Dependency::kMatch     ? required_build_stage
+                                        : required_build_stage >= required_stage ? scheme_.released_stage()
                                                                                  : 0);
     }
     return supported;
@@ -496,16 +499,16 @@
         return;
     }
     for (std::size_t i = 0; i < build.dependencies.size(); ++i) {
-        const Need &dependency = build.dependencies[i];
+        const Dependency &dependency = build.dependencies[i];
         const int required_build_stage =
             build.required_builds[i] ? build.required_builds[i]->cells[cell].stage : 0;
-        const bool unmet = dependency.stage == Need::kMatch ? required_build_stage < state.stage
-                                                            : required_build_stage < dependency.stage;
+        const bool unmet = dependency.stage == Dependency::kMatch ? required_build_stage < state.stage
+                                                                  : required_build_stage < dependency.stage;
         if (dependency.strict && unmet) return roll_back_cell(build, cell, "dependency");
     }
     build.unsupported_cells.insert(entry);
     if (build.next_rollback_at >= 0) return;
-    build.next_rollback_at = now_ + scheme_.hold;
+    build.next_rollback_at = now_ + scheme_.rollback_delay;
     log_event("release.hold",
               {{"build", build.name.text()}, {"why", "a required build has been rolled back"}});
 }
@@ -553,13 +556,13 @@
     }
     state.stage = static_cast<std::uint8_t>(to);
     int &behind = build.cells_behind[build.waves.by_cell[cell]];
-    behind += (to < scheme_.follow) - (from < scheme_.follow);
-    const bool was_released_everywhere = build.released_cells == scheme_.cells();
-    build.released_cells += (to == scheme_.released()) - (from == scheme_.released());
+    behind += (to < scheme_.wave_gate_stage) - (from < scheme_.wave_gate_stage);
+    const bool was_released_everywhere = build.released_cells == scheme_.cell_count();
+    build.released_cells += (to == scheme_.released_stage()) - (from == scheme_.released_stage());
     build.evidence.erase(cell);
     build.opinion_at.erase(cell);
     check_support(build, cell);
-    if (is_own(build) && was_released_everywhere != (build.released_cells == scheme_.cells())) {
+    if (is_own(build) && was_released_everywhere != (build.released_cells == scheme_.cell_count())) {
         share_changes_.push_back(
             {build.name.number, -1, was_released_everywhere ? 0.0 : scheme_.stages.back()});
         if (was_released_everywhere)
@@ -610,7 +613,8 @@
 
 void Plan::collect_build_opinions(Build &build) {
     if (build.verdict == Verdict::roll_back) {
-        if (build.rollback_opinion_at >= 0 && now_ < build.rollback_opinion_at + scheme_.renew) return;
+        if (build.rollback_opinion_at >= 0 && now_ < build.rollback_opinion_at + scheme_.opinion_interval)
+            return;
         build.rollback_opinion_at = now_;
         opinions_.push_back({build.name, -1, 0, Verdict::roll_back, rev_});
         return;
@@ -623,13 +627,13 @@
     for (int customer = 0; customer < static_cast<int>(scheme_.customers.size()); ++customer) {
         const int cell = scheme_.cell(own_zone_, customer);
         const CellState &state = build.cells[cell];
-        if (state.stage != state.desk_stage || state.stage >= scheme_.released() ||
+        if (state.stage != state.desk_stage || state.stage >= scheme_.released_stage() ||
             build.waves.by_cell[cell] > last_wave)
             continue;
         if (max_supported_stage(build, cell) <= state.stage || frozen(build.name.service, cell)) continue;
         // Stage 0 needs no evidence: the build receives no picks there.
         const auto picks = build.evidence.find(cell);
-        if (state.stage > 0 && (picks == build.evidence.end() ? 0 : picks->second) < scheme_.evidence)
+        if (state.stage > 0 && (picks == build.evidence.end() ? 0 : picks->second) < scheme_.min_picks)
             continue;
         add_opinion(build, cell, Verdict::advance);
     }
@@ -637,7 +641,7 @@
 
 void Plan::add_opinion(Build &build, int cell, Verdict verdict) {
     const auto [given_at, is_first] = build.opinion_at.try_emplace(cell, now_);
-    if (!is_first && now_ < given_at->second + scheme_.renew) return;
+    if (!is_first && now_ < given_at->second + scheme_.opinion_interval) return;
     given_at->second = now_;
     opinions_.push_back({build.name, cell, build.cells[cell].stage, verdict, rev_});
 }
@@ -650,7 +654,8 @@
         for (int customer = 0; customer < static_cast<int>(scheme_.customers.size()); ++customer) {
             const int cell = scheme_.cell(own_zone_, customer);
             const bool is_silent = now_ - last_rpc_at_[customer] >= scheme_.silent_after;
-            silent[build.waves.by_cell[cell]] += is_silent && build.cells[cell].stage < scheme_.follow;
+            silent[build.waves.by_cell[cell]] +=
+                is_silent && build.cells[cell].stage < scheme_.wave_gate_stage;
         }
     int wave = 0;
     while (wave + 1 < build.waves.count && build.cells_behind[wave] <= silent[wave]) ++wave;
--- a/src/release/plan.hpp
+++ b/src/release/plan.hpp
@@ -23,7 +23,7 @@
 
 class Plan {
   public:
-    explicit Plan(Scheme scheme);
+    explicit Plan(ReleaseSettings scheme);
     Plan(const Plan &) = delete;
 
     // Inputs.
@@ -43,7 +43,7 @@
     bool needs_snapshot() const { return !synced_ || desk_behind_ || update_missing_; }
 
     // State.
-    const Scheme &scheme() const { return scheme_; }
+    const ReleaseSettings &scheme() const { return scheme_; }
     std::int64_t revision() const { return rev_; }
     std::vector<BuildName> builds() const;
     int stage(const BuildName &build, int cell) const;
@@ -64,7 +64,7 @@
     };
     struct Build {
         BuildName name;
-        std::vector<Need> dependencies;
+        std::vector<Dependency> dependencies;
         std::vector<Build *> required_builds; // parallel to `dependencies`; null: unknown build
         std::vector<Build *> dependents;
         std::string refusal;
@@ -101,7 +101,7 @@
     void restore(Build &build, const std::vector<const Update *> &stages);
     Build *offer(const Update &update);
     bool evict_build();
-    void set_dependencies(Build &build, std::vector<Need> dependencies);
+    void set_dependencies(Build &build, std::vector<Dependency> dependencies);
     void clear_dependencies(Build &build);
     std::string find_refusal(const Build &build) const;
     void set_desk_stage(Build &build, const Update &update);
@@ -124,7 +124,7 @@
     int last_open_wave(const Build &build) const;
     void add_opinion(Build &build, int cell, Verdict verdict);
 
-    const Scheme scheme_;
+    const ReleaseSettings scheme_;
     const int own_zone_;
     Ticks now_ = 0;
     std::int64_t rev_ = 0;
--- a/src/release/waves.cpp
+++ b/src/release/waves.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 // The rank of each customer, in ascending order of the proportion of its RPCs that went to withdrawn builds.
-std::vector<int> ranks_by_withdrawn_share(const Scheme &scheme, const std::vector<CustomerTraffic> &traffic,
+std::vector<int> ranks_by_withdrawn_share(const ReleaseSettings &scheme,
+                                          const std::vector<CustomerTraffic> &traffic,
                                           const BuildName &build) {
     std::vector<std::tuple<double, std::uint64_t, int>> order; // withdrawn proportion, tie-breaker, customer
     double total = 0;
@@ -29,15 +30,16 @@
 
 } // namespace
 
-Waves make_waves(const Scheme &scheme, const std::vector<CustomerTraffic> &traffic, const BuildName &build) {
+Waves make_waves(const ReleaseSettings &scheme, const std::vector<CustomerTraffic> &traffic,
+                 const BuildName &build) {
     Waves waves;
-    waves.by_cell.resize(scheme.cells());
+    waves.by_cell.resize(scheme.cell_count());
     std::vector<int> rank(scheme.customers.size());
     std::iota(rank.begin(), rank.end(), 0);
-    if (scheme.order == Order::balanced) rank = ranks_by_withdrawn_share(scheme, traffic, build);
-    const bool by_customer = scheme.order == Order::customers || scheme.order == Order::balanced;
-    const int canary_waves = scheme.order == Order::canary;
-    for (int cell = 0; cell < static_cast<int>(scheme.cells()); ++cell)
+    if (scheme.order == WaveOrder::balanced) rank = ranks_by_withdrawn_share(scheme, traffic, build);
+    const bool by_customer = scheme.order == WaveOrder::customers || scheme.order == WaveOrder::balanced;
+    const int canary_waves = scheme.order == WaveOrder::canary;
+    for (int cell = 0; cell < static_cast<int>(scheme.cell_count()); ++cell)
         waves.by_cell[cell] = static_cast<std::uint16_t>(
             canary_waves + (by_customer ? rank[scheme.customer_of(cell)] : scheme.zone_of(cell)));
     if (canary_waves)
--- a/src/release/waves.hpp
+++ b/src/release/waves.hpp
@@ -2,7 +2,7 @@
 // preceding waves have reached the stage `Scheme::follow`.
 #pragma once
 
-#include "settings/scheme.hpp"
+#include "settings/release.hpp"
 
 #include <cstdint>
 #include <vector>
@@ -22,6 +22,7 @@
 // Assigns each cell to a wave. Deterministic: equal arguments give equal waves. In balanced order the
 // customer with the lowest proportion of RPCs at withdrawn builds goes first, which evens this proportion out
 // over releases; ties are broken by a hash of the customer's and the build's names.
-Waves make_waves(const Scheme &scheme, const std::vector<CustomerTraffic> &traffic, const BuildName &build);
+Waves make_waves(const ReleaseSettings &scheme, const std::vector<CustomerTraffic> &traffic,
+                 const BuildName &build);
 
 } // namespace pineridge::release
--- a/src/release/wire.hpp
+++ b/src/release/wire.hpp
@@ -20,6 +20,6 @@
 };
 StreamLine read_line(std::string_view line, int released);
 
-std::string write_opinion(const Opinion &opinion, const Scheme &scheme, const std::string &router);
+std::string write_opinion(const Opinion &opinion, const ReleaseSettings &scheme, const std::string &router);
 
 } // namespace pineridge::release
--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -19,13 +19,13 @@
 // What the kernel reports of a connection.
 struct SocketState {
     bool peer_closed = false; // also true where the kernel reports nothing
-    Span since_last_receive{0};
+    Milliseconds since_last_receive{0};
 };
 SocketState socket_state(int socket) {
     tcp_info info{};
     socklen_t size = sizeof info;
-    if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return {true, Span(0)};
-    return {info.tcpi_state != TCP_ESTABLISHED, Span(info.tcpi_last_data_recv)};
+    if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return {true, Milliseconds(0)};
+    return {info.tcpi_state != TCP_ESTABLISHED, Milliseconds(info.tcpi_last_data_recv)};
 }
 
 } // namespace
@@ -45,8 +45,8 @@
     // return. Returns 0 where the connection may stay, as it always may in observe mode; else it is refused
     // and the client may retry after the returned time.
     Ticks request_admission(const asio::ip::address &from) {
-        const admission::ConnectionDecision decision =
-            clients_.connection_limiter_->try_admit(limiter_entry_, number_of(from), clients_.now_ticks());
+        const admission::ConnectionDecision decision = clients_.connection_limiter_->try_admit(
+            limiter_entry_, to_address_bits(from), clients_.now_ticks());
         admitted_ = decision.admitted();
         if (decision.evicted) static_cast<Connection *>(decision.evicted->owner)->close();
         return clients_.admission_rules_->observe ? 0 : decision.retry_after;
@@ -58,7 +58,8 @@
         while (!closed_) {
             const bool pause_for_memory = session_.has_pending_replies() && clients_.is_short_of_memory();
             if (pause_for_memory || !may_read()) {
-                resume_timer_.expires_after(pause_for_memory ? limits.crammed_pause : limits.unread_look);
+                resume_timer_.expires_after(pause_for_memory ? limits.low_memory_pause
+                                                             : limits.unread_check_interval);
                 co_await resume_timer_.async_wait(as_tuple(use_awaitable));
                 // A close by the client cannot be read while reading is paused. Without this check RPCs of a
                 // client that has left would still be sent to hosts.
@@ -122,20 +123,22 @@
     // complete a command or its PROXY header, or has not sent a first byte.
     bool is_stalled(Clock::time_point now) const {
         const Limits &limits = clients_.start_.limits;
-        const Entrance *const rules = clients_.admission_rules_.get();
-        const auto configured_or = [&](Ticks Entrance::*duration, Span default_duration) {
-            return rules ? Span(rules->*duration / 10) : default_duration;
+        const AdmissionSettings *const rules = clients_.admission_rules_.get();
+        const auto configured_or = [&](Ticks AdmissionSettings::*duration, Milliseconds default_duration) {
+            return rules ? Milliseconds(rules->*duration / 10) : default_duration;
         };
-        const Span inactive_for = std::chrono::floor<Span>(now - last_activity_);
-        if (writing_) return inactive_for > configured_or(&Entrance::unread, limits.unread_answers);
+        const Milliseconds inactive_for = std::chrono::floor<Milliseconds>(now - last_activity_);
+        if (writing_)
+            return inactive_for >
+                   configured_or(&AdmissionSettings::unread_timeout, limits.unread_answer_timeout);
         if (session_.has_pending_replies()) return false;
         if (session_.has_partial_command() || awaits_proxy_header_)
-            return std::chrono::floor<Span>(now - (partial_command_since_ == Clock::time_point{}
-                                                       ? last_activity_
-                                                       : partial_command_since_)) >
-                   configured_or(&Entrance::whole_command, limits.half_command);
+            return std::chrono::floor<Milliseconds>(now - (partial_command_since_ == Clock::time_point{}
+                                                               ? last_activity_
+                                                               : partial_command_since_)) >
+                   configured_or(&AdmissionSettings::command_timeout, limits.command_timeout);
         return rules && !has_sent_command_ &&
-               inactive_for > configured_or(&Entrance::first_byte, limits.half_command);
+               inactive_for > configured_or(&AdmissionSettings::first_byte_timeout, limits.command_timeout);
     }
     std::size_t buffered_bytes() const { return buffered_bytes_; }
     bool has_pending_replies() const { return session_.has_pending_replies(); }
@@ -165,7 +168,7 @@
     enum class ReadResult { none, some, closed };
 
     bool may_read() const {
-        return discards_input_ ? discarded_bytes_ <= clients_.start_.limits.discarded
+        return discards_input_ ? discarded_bytes_ <= clients_.start_.limits.max_discarded_bytes
                                : session_.accepts_input();
     }
 
@@ -262,7 +265,7 @@
             return session_.set_reply(slot, "-ERR unknown command\r\n");
         try {
             const Request request =
-                parse_request(arguments, clients_.start_.names, clients_.start_.limits.word);
+                parse_request(arguments, clients_.start_.names, clients_.start_.limits.max_argument_bytes);
             unanswered_rpcs_.emplace_back(slot, request.id);
             if (admitted_) clients_.connection_limiter_->rpc_started(limiter_entry_);
             clients_.last_rpc_at_ = Clock::now();
@@ -313,7 +316,7 @@
         if (std::exchange(lingering_, true)) return;
         boost::system::error_code ignored;
         socket_.shutdown(asio::socket_base::shutdown_send, ignored);
-        linger_timer_.expires_after(clients_.start_.limits.linger);
+        linger_timer_.expires_after(clients_.start_.limits.close_linger);
         linger_timer_.async_wait([self = shared_from_this()](boost::system::error_code failed) {
             if (!failed) self->close();
         });
@@ -339,7 +342,7 @@
     Session session_;
     std::vector<std::pair<std::uint64_t, std::string>> unanswered_rpcs_; // reply slots and ids
     Clock::time_point last_activity_;
-    Span lateness_{0}; // how long the bytes read last had been waiting in the kernel
+    Milliseconds lateness_{0}; // how long the bytes read last had been waiting in the kernel
     Clock::time_point partial_command_since_{}; // when the incomplete command started
     admission::ClientConnection limiter_entry_;
     std::vector<bool> unwritten_outcomes_; // of answered RPCs whose replies are not all written: served?
@@ -359,15 +362,17 @@
 Clients::Clients(asio::io_context &io, const Start &start, const Log &log,
                  admission::DescriptorBudget &descriptor_budget, RequestHandler &handler)
     : io_(io), start_(start), log_(log), descriptor_budget_(descriptor_budget), handler_(handler),
-      acceptor_(io), read_buffer_(start.limits.read_step), accept_timer_(io) {
+      acceptor_(io), read_buffer_(start.limits.read_chunk_bytes), accept_timer_(io) {
     set_admission_rules(start.entrance);
 }
 
-Ticks Clients::now_ticks() { return std::chrono::floor<Tick>(Clock::now().time_since_epoch()).count(); }
+Ticks Clients::now_ticks() {
+    return std::chrono::floor<TickDuration>(Clock::now().time_since_epoch()).count();
+}
 
 // Connections that were accepted while there was no limiter stay unknown to it: only close_idle_beyond evicts
 // them.
-void Clients::set_admission_rules(std::shared_ptr<const Entrance> rules) {
+void Clients::set_admission_rules(std::shared_ptr<const AdmissionSettings> rules) {
     // The previous rules have to live until the limiter no longer refers to them.
     const auto previous = std::exchange(admission_rules_, std::move(rules));
     if (!admission_rules_) {
@@ -376,15 +381,15 @@
     } else if (connection_limiter_) {
         connection_limiter_->set_rules(*admission_rules_);
     } else {
-        connection_limiter_.emplace(*admission_rules_, start_.limits.clients, start_.seed);
+        connection_limiter_.emplace(*admission_rules_, start_.limits.client_connections, start_.seed);
     }
 }
 
 bool Clients::is_trusted_proxy(const asio::ip::address &from) const {
     if (!admission_rules_) return false;
-    const Number number = number_of(from);
+    const AddressBits number = to_address_bits(from);
     return std::any_of(admission_rules_->fronts.begin(), admission_rules_->fronts.end(),
-                       [&](const Network &proxy) { return proxy.holds(number); });
+                       [&](const Network &proxy) { return proxy.contains(number); });
 }
 
 // Returns the reply to a command on a rejected connection. A PING still succeeds: a full router is not down.
@@ -416,7 +421,7 @@
     acceptor_.set_option(asio::socket_base::reuse_address(true));
     // A connection takes a descriptor only once its first bytes have arrived, so that clients which connect
     // and send nothing do not use up the descriptors.
-    acceptor_.set_option(DeferAccept(static_cast<int>(start_.limits.half_command.count() / 1000)));
+    acceptor_.set_option(DeferAccept(static_cast<int>(start_.limits.command_timeout.count() / 1000)));
     acceptor_.bind(start_.listen);
     acceptor_.listen(asio::socket_base::max_listen_connections);
     asio::co_spawn(io_, accept(), detached);
@@ -425,12 +430,13 @@
         [this]() -> asio::awaitable<void> {
             asio::steady_timer timer(io_);
             for (;;) {
-                timer.expires_after(start_.limits.sweep);
+                timer.expires_after(start_.limits.sweep_interval);
                 co_await timer.async_wait(use_awaitable);
                 const auto now = Clock::now();
                 const std::vector<std::shared_ptr<Connection>> open(connections_.begin(), connections_.end());
                 for (const auto &connection : open) connection->close_if_stalled(now);
-                if (!connection_limiter_) close_idle_beyond(start_.limits.kept, connections_.size());
+                if (!connection_limiter_)
+                    close_idle_beyond(start_.limits.idle_eviction_threshold, connections_.size());
                 close_largest_buffers();
             }
         },
@@ -453,7 +459,8 @@
     connections_.insert(connection);
     // During shutdown every connection is accepted to be answered, so the budget may be used up here.
     connection->holds_descriptor = descriptor_budget_.acquire(admission::Purpose::clients);
-    if (!connection_limiter_) close_idle_beyond(start_.limits.kept, start_.limits.looked_at);
+    if (!connection_limiter_)
+        close_idle_beyond(start_.limits.idle_eviction_threshold, start_.limits.eviction_candidates);
     asio::co_spawn(io_, connection->serve(), detached);
 }
 
@@ -465,11 +472,12 @@
     boost::system::error_code failed;
     acceptor_.non_blocking(true, failed);
     while (acceptor_.is_open()) {
-        if (!connection_limiter_ && connections_.size() >= limits.clients)
-            close_idle_beyond(limits.clients - limits.accepts, 2 * limits.accepts);
+        if (!connection_limiter_ && connections_.size() >= limits.client_connections)
+            close_idle_beyond(limits.client_connections - limits.accepts_per_turn,
+                              2 * limits.accepts_per_turn);
         // The limiter has to see every new connection: it evicts one for each that it admits beyond its
         // capacity.
-        const std::size_t reserved = connection_limiter_ ? 0 : limits.at_door;
+        const std::size_t reserved = connection_limiter_ ? 0 : limits.proxy_header_connections;
         const auto full = [&] {
             return descriptor_budget_.available(admission::Purpose::clients) <= reserved;
         };
@@ -482,11 +490,12 @@
         std::tie(failed) = co_await acceptor_.async_wait(acceptor_.wait_read, as_tuple(use_awaitable));
         if (failed == asio::error::operation_aborted) break;
         bool none = false;
-        for (std::size_t i = 0; i < limits.accepts && !full() && !none; ++i) none = !accept_one(failed);
+        for (std::size_t i = 0; i < limits.accepts_per_turn && !full() && !none; ++i)
+            none = !accept_one(failed);
         if (failed && failed != asio::error::would_block && failed != asio::error::connection_aborted) {
             log_(Level::warning, "accept: ", failed.message(), ", clients ", connections_.size());
             handler_.handle_descriptors_exhausted();
-            close_idle_beyond(limits.clients, limits.looked_at);
+            close_idle_beyond(limits.client_connections, limits.eviction_candidates);
             accept_timer_.expires_after(limits.accept_pause);
             co_await accept_timer_.async_wait(as_tuple(use_awaitable));
         }
@@ -523,17 +532,18 @@
 // Returns how long the bytes that were just read had been waiting in the kernel. Only one read in several is
 // examined, but every read for a while after a late one: only lateness makes the time that a client has left
 // differ from the timeout it sent.
-Span Clients::lateness(int socket, Clock::time_point now) {
-    if (now >= lateness_checks_until_ && ++read_count_ % start_.limits.late_looks != 0) return Span(0);
-    const Span lateness = socket_state(socket).since_last_receive;
-    if (lateness < start_.limits.late_least) return Span(0);
-    lateness_checks_until_ = now + start_.limits.late_for;
+Milliseconds Clients::lateness(int socket, Clock::time_point now) {
+    if (now >= lateness_checks_until_ && ++read_count_ % start_.limits.lateness_sample_interval != 0)
+        return Milliseconds(0);
+    const Milliseconds lateness = socket_state(socket).since_last_receive;
+    if (lateness < start_.limits.min_lateness) return Milliseconds(0);
+    lateness_checks_until_ = now + start_.limits.lateness_watch_time;
     return lateness;
 }
 
 void Clients::log_full() {
     const auto now = Clock::now();
-    if (now < last_full_log_ + start_.limits.sweep) return;
+    if (now < last_full_log_ + start_.limits.sweep_interval) return;
     last_full_log_ = now;
     log_(Level::info, "admission: connection limit reached, clients ", connections_.size(),
          ", abandoned connections closed ", abandoned_);
@@ -559,7 +569,8 @@
     for (auto next = idle_connections_.begin(); next != idle_connections_.end() && max_examined-- > 0;
          ++next) {
         Connection &connection = **next;
-        if (now - connection.last_activity() < start_.limits.rested) break; // may be about to be used
+        if (now - connection.last_activity() < start_.limits.min_idle_before_eviction)
+            break; // may be about to be used
         if (connection.has_sent_command()) candidates.push_back(connection.shared_from_this());
     }
     for (const auto &connection : candidates) {
@@ -591,10 +602,11 @@
     last_rpc_at_ = started;
     asio::steady_timer timer(io_);
     for (;;) {
-        close_idle(limits.leave_unused);
+        close_idle(limits.shutdown_unused_timeout);
         const auto now = Clock::now();
-        if (now - started >= limits.leave_least && now - last_rpc_at_ >= limits.leave_quiet) break;
-        if (now - started >= limits.leave_by) break; // further RPCs are pushed back
+        if (now - started >= limits.min_shutdown_time && now - last_rpc_at_ >= limits.shutdown_quiet_time)
+            break;
+        if (now - started >= limits.shutdown_timeout) break; // further RPCs are pushed back
         timer.expires_after(limits.accept_pause);
         co_await timer.async_wait(use_awaitable);
     }
@@ -604,15 +616,15 @@
         // No descriptor is free. Closing the acceptor now would reset the connections in the listen queue, so
         // wait for descriptors to be released: by the shutdown deadline every accepted RPC has been answered.
         // The short grace period after it still ends before the process may be killed.
-        if (Clock::now() - started >= limits.leave_by + limits.leave_last) break;
+        if (Clock::now() - started >= limits.shutdown_timeout + limits.shutdown_grace) break;
         handler_.handle_descriptors_exhausted();
-        close_idle(Span(0));
+        close_idle(Milliseconds(0));
         timer.expires_after(limits.accept_pause);
         co_await timer.async_wait(use_awaitable);
     }
     acceptor_.close(failed);
     while (!connections_.empty()) {
-        close_idle(limits.leave_unused);
+        close_idle(limits.shutdown_unused_timeout);
         timer.expires_after(limits.accept_pause);
         co_await timer.async_wait(use_awaitable);
     }
--- a/src/router/clients/clients.hpp
+++ b/src/router/clients/clients.hpp
@@ -32,7 +32,7 @@
     virtual ~RequestHandler() = default;
     // `lateness`: how long the command had been waiting in the kernel before it was read.
     virtual void handle_rpc(ReplyTarget target, std::shared_ptr<const OwnedRequest> request,
-                            Span lateness) = 0;
+                            Milliseconds lateness) = 0;
     // The connection of the RPC with this id has been closed, by its client or by the router.
     virtual void handle_client_left(const std::string &id) = 0;
     // No descriptor was free for a new connection. The handler should close idle connections of its own.
@@ -57,7 +57,7 @@
 
     // Replaces the admission rules. Null means no rules: connections are accepted while descriptors are
     // available.
-    void set_admission_rules(std::shared_ptr<const Entrance> rules);
+    void set_admission_rules(std::shared_ptr<const AdmissionSettings> rules);
     // Null while there are no rules.
     const admission::ConnectionLimiter *connection_limiter() const {
         return connection_limiter_ ? &*connection_limiter_ : nullptr;
@@ -70,7 +70,7 @@
     void close_idle(std::chrono::milliseconds max_unused);
     void close_idle_beyond(std::size_t max_open, std::size_t max_examined);
     bool accept_one(boost::system::error_code &failed); // false: no connection could be accepted
-    Span lateness(int socket, std::chrono::steady_clock::time_point now);
+    Milliseconds lateness(int socket, std::chrono::steady_clock::time_point now);
     void log_full();
     void add_idle(Connection &connection);
     void remove_idle(Connection &connection);
@@ -79,7 +79,7 @@
     std::string rejection_reply(const std::vector<std::string_view> &arguments, Ticks retry_after) const;
     void close_largest_buffers();
     // Buffers of clients may hold a quarter of the memory.
-    bool is_short_of_memory() const { return total_buffered_bytes_ > start_.limits.memory / 4; }
+    bool is_short_of_memory() const { return total_buffered_bytes_ > start_.limits.memory_bytes / 4; }
     static Ticks now_ticks();
 
     asio::io_context &io_;
@@ -88,7 +88,7 @@
     admission::DescriptorBudget &descriptor_budget_;
     RequestHandler &handler_;
     asio::ip::tcp::acceptor acceptor_;
-    std::shared_ptr<const Entrance> admission_rules_; // null: no rules
+    std::shared_ptr<const AdmissionSettings> admission_rules_; // null: no rules
     std::optional<admission::ConnectionLimiter> connection_limiter_; // refers to admission_rules_
     std::vector<char> read_buffer_; // shared by all connections: it is emptied within each read
     std::size_t total_buffered_bytes_ = 0; // of all connections
--- a/src/router/clients/request.cpp
+++ b/src/router/clients/request.cpp
@@ -11,17 +11,19 @@
 double parse_number(std::string_view value, const char *name) {
     double number = 0;
     const auto parsed = std::from_chars(value.data(), value.data() + value.size(), number);
-    if (parsed.ec != std::errc{} || parsed.ptr != value.data() + value.size()) wrong(name, "not a number");
-    if (!(number >= 0 && number <= 1e8)) wrong(name, "out of range");
+    if (parsed.ec != std::errc{} || parsed.ptr != value.data() + value.size())
+        throw_field_error(name, "not a number");
+    if (!(number >= 0 && number <= 1e8)) throw_field_error(name, "out of range");
     return number;
 }
 
 // Requires a printable token: it is written elsewhere between blanks and commas. Its size is bounded because
 // it is stored for the lifetime of its RPC.
 void check_token(std::string_view token, const char *name, std::size_t max_size) {
-    if (token.empty() || token.size() > max_size) wrong(name, "empty or too long");
+    if (token.empty() || token.size() > max_size) throw_field_error(name, "empty or too long");
     const auto not_printable = [](unsigned char c) { return c <= ' ' || c >= 127; };
-    if (std::any_of(token.begin(), token.end(), not_printable)) wrong(name, "holds odd characters");
+    if (std::any_of(token.begin(), token.end(), not_printable))
+        throw_field_error(name, "holds odd characters");
 }
 
 void parse_field(std::string_view name, std::string_view value, const Names &names, Request &request) {
@@ -30,17 +32,17 @@
     } else if (name == "t") {
         if (!names.tenants.empty()) request.tenant = place_of(names.tenants, std::string(value), "t");
     } else if (name == "d") {
-        request.timeout = ticks_down(parse_number(value, "d") / 1000);
+        request.timeout = ticks_from_seconds(parse_number(value, "d") / 1000);
         request.timeout_digits = value;
     } else if (name == "r") {
-        if (value != "0" && value != "1") wrong("r", "neither 0 nor 1");
+        if (value != "0" && value != "1") throw_field_error("r", "neither 0 nor 1");
         request.retry = value == "1";
     } else if (name == "h") {
-        request.size_hint = ticks_down(parse_number(value, "h") / 1e6);
+        request.size_hint = ticks_from_seconds(parse_number(value, "h") / 1e6);
     } else if (name == "k") {
         check_token(value, "k", value.size());
     } else {
-        wrong("names", "one that no client sends");
+        throw_field_error("names", "one that no client sends");
     }
 }
 
@@ -48,7 +50,8 @@
 
 Request parse_request(const std::vector<std::string_view> &arguments, const Names &names,
                       std::size_t max_size) {
-    if (arguments.size() < 4 || arguments.size() > 5) wrong("command", "not a key, an id, names and a body");
+    if (arguments.size() < 4 || arguments.size() > 5)
+        throw_field_error("command", "not a key, an id, names and a body");
     Request request{};
     request.key = arguments[1];
     request.id = arguments[2];
@@ -60,23 +63,24 @@
         const std::string_view field = rest.substr(0, rest.find(','));
         rest.remove_prefix(std::min(rest.size(), field.size() + 1));
         const std::size_t equals = field.find('=');
-        if (equals == std::string_view::npos || equals == 0) wrong("names", "not a list of names and values");
+        if (equals == std::string_view::npos || equals == 0)
+            throw_field_error("names", "not a list of names and values");
         const std::string_view name = field.substr(0, equals);
         if (std::find(seen_names.begin(), seen_names.end(), name) != seen_names.end())
-            wrong(std::string(name), "repeated");
+            throw_field_error(std::string(name), "repeated");
         seen_names.push_back(name);
         parse_field(name, field.substr(equals + 1), names, request);
     }
     for (const std::string_view needed : {"c", "d"})
         if (std::find(seen_names.begin(), seen_names.end(), needed) == seen_names.end())
-            wrong(std::string(needed), "missing");
+            throw_field_error(std::string(needed), "missing");
     if (!names.tenants.empty() && std::find(seen_names.begin(), seen_names.end(), "t") == seen_names.end())
-        wrong("t", "missing");
+        throw_field_error("t", "missing");
     // A host treats a command that does not suit the method, or a body that does not belong to the command,
     // as malformed input.
     const bool is_ask = arguments[0] == "Q.ASK";
-    if (is_ask != names.idempotent.at(request.method)) wrong("c", "not for this command");
-    if (is_ask && arguments.size() > 4) wrong("body", "not for this command");
+    if (is_ask != names.idempotent.at(request.method)) throw_field_error("c", "not for this command");
+    if (is_ask && arguments.size() > 4) throw_field_error("body", "not for this command");
     return request;
 }
 
--- a/src/router/clients/session.cpp
+++ b/src/router/clients/session.cpp
@@ -7,13 +7,14 @@
     command_size_ = 0;
     arguments_.clear();
     if (unread_.empty()) {
-        if (unread_.capacity() > limits_.read_step) unread_.shrink_to_fit();
+        if (unread_.capacity() > limits_.read_chunk_bytes) unread_.shrink_to_fit();
         return Next::none;
     }
     if (!accepts_input()) return Next::none;
-    const resp::Bounds bounds{limits_.value, limits_.words, 1, limits_.line};
+    const resp::Bounds bounds{limits_.max_value_bytes, limits_.max_arguments, 1, limits_.max_resp_line_bytes};
     const resp::Scan scanned = resp::scan(unread_, bounds, value_);
-    if (scanned == resp::Scan::more) return unread_.size() > limits_.command ? Next::malformed : Next::none;
+    if (scanned == resp::Scan::more)
+        return unread_.size() > limits_.max_command_bytes ? Next::malformed : Next::none;
     if (scanned == resp::Scan::bad || value_.kind != resp::Kind::array || value_.items.empty())
         return Next::malformed;
     for (const resp::Value &item : value_.items) {
--- a/src/router/clients/session.hpp
+++ b/src/router/clients/session.hpp
@@ -41,7 +41,9 @@
     bool is_idle() const { return slots_.empty() && writing_ == 0 && unread_.size() == command_size_; }
     bool has_pending_replies() const { return !slots_.empty(); }
     // False while the client has too many commands in progress or too many unwritten reply bytes.
-    bool accepts_input() const { return slots_.size() < limits_.pipelined && unsent_bytes_ < limits_.unsent; }
+    bool accepts_input() const {
+        return slots_.size() < limits_.max_pipelined && unsent_bytes_ < limits_.max_unsent_bytes;
+    }
     std::size_t buffered_bytes() const { return unread_.capacity() + unsent_bytes_; }
     bool has_partial_command() const { return unread_.size() > command_size_; }
 
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -17,10 +17,13 @@
     const auto part = [&](admission::Purpose purpose) -> auto & {
         return parts[static_cast<std::size_t>(purpose)];
     };
-    part(admission::Purpose::clients) = {limits.clients, limits.clients + limits.at_door};
-    part(admission::Purpose::hosts) = {limits.hosts, limits.hosts};
-    part(admission::Purpose::drains) = {limits.drains, limits.drains};
-    return {limits.clients + limits.at_door + limits.hosts + limits.drains, parts};
+    part(admission::Purpose::clients) = {limits.client_connections,
+                                         limits.client_connections + limits.proxy_header_connections};
+    part(admission::Purpose::hosts) = {limits.host_connections, limits.host_connections};
+    part(admission::Purpose::drains) = {limits.drain_connections, limits.drain_connections};
+    return {limits.client_connections + limits.proxy_header_connections + limits.host_connections +
+                limits.drain_connections,
+            parts};
 }
 
 } // namespace
@@ -30,7 +33,9 @@
       hosts_(io, start, log, ledger_), clients_(io, start, log, ledger_, *this),
       watch_(
           io, start, log, [this](const membership::Listing &listing) { take_list(listing); },
-          [this](Span left) { module().host_list_failed(std::chrono::duration_cast<Tick>(left).count()); },
+          [this](Milliseconds left) {
+              module().host_list_failed(std::chrono::duration_cast<TickDuration>(left).count());
+          },
           [this](Instant until, Instant outage_until) { take_lease(until, outage_until); }),
       stream_(io, start, log, [this](const rollout::Told &told) { take_told(told); }),
       votes_(io, start, log, [this](const RolloutUpdate &news) { take_news(news); }), wake_(io), leave_(io),
@@ -77,19 +82,19 @@
     // The age of the list that this process was started with is not known: nothing is sent before discovery
     // has answered. Clients are taken a little later rather than turned away.
     if (start_.list_at_hand && !start_.registry) watch_.begin();
-    if (!start_.registry) co_await watch_.wait_for_lease(start_.limits.list_ready);
+    if (!start_.registry) co_await watch_.wait_for_lease(start_.limits.list_ready_timeout);
     if (start_.registry) co_await wait_for_hosts();
     co_await hosts_.warm_up();
     co_await listen();
     if (own_key_) own_key_->begin();
     asio::co_spawn(io_, sweep(), asio::detached);
     log_(Level::info, "serving at ", start_.listen, ", build ", known_.build, ", clients ",
-         start_.limits.clients, ", connections to hosts ", start_.limits.hosts);
+         start_.limits.client_connections, ", connections to hosts ", start_.limits.host_connections);
 }
 
 // Stops a router from telling that it serves, by its own key too, while it has yet to read of any host.
 asio::awaitable<void> Driver::wait_for_hosts() {
-    const auto until = std::chrono::steady_clock::now() + start_.limits.list_whole;
+    const auto until = std::chrono::steady_clock::now() + start_.limits.list_full_timeout;
     boost::asio::steady_timer timer(io_);
     while (!listed_ && std::chrono::steady_clock::now() < until) {
         timer.expires_after(start_.limits.accept_pause);
@@ -99,7 +104,7 @@
 
 // Stops a router from staying up and deaf where the one before it has yet to give up the address.
 asio::awaitable<void> Driver::listen() {
-    const auto until = std::chrono::steady_clock::now() + start_.limits.listen_for;
+    const auto until = std::chrono::steady_clock::now() + start_.limits.listen_retry_time;
     boost::asio::steady_timer timer(io_);
     for (bool said = false;; said = true) {
         try {
@@ -109,7 +114,7 @@
                 throw;
             if (!said) log_(Level::warning, "listen: ", start_.listen, ": ", failed.code().message());
         }
-        timer.expires_after(start_.limits.retry_least);
+        timer.expires_after(start_.limits.min_retry_pause);
         co_await timer.async_wait(asio::use_awaitable);
     }
 }
@@ -117,8 +122,8 @@
 // The key goes first, so that nobody is sent here any more; service ends in order meanwhile.
 void Driver::leave(std::function<void()> done) {
     if (leave_by_ < 0) {
-        leave_by_ = time() + std::chrono::duration_cast<Tick>(start_.limits.leave_by).count();
-        leave_.expires_after(start_.limits.leave_by);
+        leave_by_ = time() + std::chrono::duration_cast<TickDuration>(start_.limits.shutdown_timeout).count();
+        leave_.expires_after(start_.limits.shutdown_timeout);
         leave_.async_wait([this](boost::system::error_code failed) {
             if (!failed) answer_all();
         });
@@ -132,7 +137,7 @@
     clients_.shut_down(one);
 }
 
-void Driver::admit_by(std::shared_ptr<const Entrance> rules) {
+void Driver::admit_by(std::shared_ptr<const AdmissionSettings> rules) {
     clients_.set_admission_rules(rules);
     entrance_ = std::move(rules);
     for (auto &[id, rpc] : rpcs_) rpc.counted = false;
@@ -176,7 +181,7 @@
 Ticks Driver::ticks_at(Instant at) const {
     if (at == Instant::max()) return std::numeric_limits<Ticks>::max();
     if (at == Instant::min()) return std::numeric_limits<Ticks>::min();
-    return std::chrono::floor<Tick>(unix_began_.time_since_epoch() + (at - began_)).count();
+    return std::chrono::floor<TickDuration>(unix_began_.time_since_epoch() + (at - began_)).count();
 }
 
 Router &Driver::module() {
@@ -235,7 +240,7 @@
 
 void Driver::wake_at(Ticks at) {
     wake_.expires_at(began_ + std::chrono::duration_cast<std::chrono::steady_clock::duration>(
-                                  Tick(at) - unix_began_.time_since_epoch()));
+                                  TickDuration(at) - unix_began_.time_since_epoch()));
     wake_.async_wait([this](boost::system::error_code failed) {
         if (!failed) module();
     });
@@ -244,7 +249,7 @@
 // --- RPCs ---
 
 void Driver::handle_rpc(clients::ReplyTarget reply, std::shared_ptr<const clients::OwnedRequest> held,
-                        Span age) {
+                        Milliseconds age) {
     const clients::Request &asked = held->request;
     const std::string id(asked.id);
     const auto [at, fresh] = rpcs_.try_emplace(id, Rpc{reply, held});
@@ -255,7 +260,7 @@
     // answered.
     if (leave_by_ >= 0 && time() >= leave_by_) return turn_away(at->second, id, 0);
     Router &to = module();
-    const Ticks lead = std::chrono::duration_cast<Tick>(start_.limits.answer_lead + age).count();
+    const Ticks lead = std::chrono::duration_cast<TickDuration>(start_.limits.answer_lead + age).count();
     const int cell = release_controller_ ? release_controller_->cell_of(asked.tenant) : -1;
     at->second.cell = cell;
     if (release_controller_) release_controller_->record_arrival(cell);
@@ -267,12 +272,12 @@
 
 // What is pushed back here has not been picked for, so that trying again is harmless. The module never hears
 // of it: it judges what it is asked.
-bool Driver::let_on(Rpc &rpc, const std::string &id, Span age) {
+bool Driver::let_on(Rpc &rpc, const std::string &id, Milliseconds age) {
     const clients::Request &asked = rpc.held->request;
     const Ticks now = time();
     rpc.wanted = {asked.tenant, asked.method,
                   salted_hash(std::string(asked.key), static_cast<std::uint64_t>(asked.method)), asked.retry};
-    counter_->record_lateness(std::chrono::duration_cast<Tick>(age).count());
+    counter_->record_lateness(std::chrono::duration_cast<TickDuration>(age).count());
     const admission::RpcDecision decision = counter_->try_admit(rpc.wanted, now);
     rpc.counted = decision.reason == admission::PushbackReason::none;
     if (rpc.counted || entrance_->observe) return true;
@@ -333,7 +338,7 @@
     if (method.repeat_policy != RepeatPolicy::tokened || rpc.first_sent < 0 || !maybe_ran)
         return std::nullopt;
     return began_ + std::chrono::duration_cast<hosts::Clock::duration>(
-                        Tick(rpc.first_sent + method.token_window) - unix_began_.time_since_epoch());
+                        TickDuration(rpc.first_sent + method.token_window) - unix_began_.time_since_epoch());
 }
 
 void Driver::ended(const std::string &id, int pick, const std::string &host, int build, Ticks sent,
@@ -389,9 +394,10 @@
 void Driver::begin_registry() {
     const auto read = [this](const std::string &, std::string_view value) {
         const json parsed = json::parse(value, nullptr, false);
-        if (!parsed.is_object()) wrong("value", "not an object");
+        if (!parsed.is_object()) throw_field_error("value", "not an object");
         membership::Member host = list::read_host(parsed, start_.names);
-        if (host.entry.status == HostStatus::gone) wrong("state", "a host that has gone has no key");
+        if (host.entry.status == HostStatus::gone)
+            throw_field_error("state", "a host that has gone has no key");
         return host;
     };
     membership::Access &access = *start_.registry_access;
@@ -399,15 +405,15 @@
         io_, membership::make_plot(*start_.registry, access, read, start_.seed), read, start_.limits, log_,
         start_.seed, [this] { return time(); }, [this](const membership::Listing &told) { take_list(told); });
     registry_->begin();
-    if (start_.registry->own_key.empty()) return;
+    if (start_.registry->registration_key.empty()) return;
     std::ostringstream listen;
     listen << start_.listen;
     const json value{{"name", start_.name}, {"listen", listen.str()}, {"started_ms", time() / 10}};
-    own_key_.emplace(io_, access.endpoints,
-                     membership::etcd::OwnKey{start_.registry->own_key, value.dump(),
-                                              start_.registry->own_life_s, start_.registry->answer},
-                     access.token, access.tls.get(), start_.limits, log_, start_.seed,
-                     [this] { return time(); });
+    own_key_.emplace(
+        io_, access.endpoints,
+        membership::etcd::OwnKey{start_.registry->registration_key, value.dump(),
+                                 start_.registry->registration_ttl_s, start_.registry->answer_timeout},
+        access.token, access.tls.get(), start_.limits, log_, start_.seed, [this] { return time(); });
 }
 
 void Driver::take_told(const rollout::Told &told) {
@@ -436,7 +442,7 @@
 
 // What admission held back since the last line, where it did.
 void Driver::say_rehearsed() {
-    if (!rehearsal_ || ++unsaid_sweeps_ < start_.limits.rehearsal_sweeps) return;
+    if (!rehearsal_ || ++unsaid_sweeps_ < start_.limits.sweeps_per_rehearsal_report) return;
     unsaid_sweeps_ = 0;
     const rehearsal::Differences &seen = rehearsal_->differences();
     if (seen == said_rehearsed_) return;
@@ -474,7 +480,7 @@
 asio::awaitable<void> Driver::sweep() {
     boost::asio::steady_timer timer(io_);
     for (;;) {
-        timer.expires_after(start_.limits.sweep);
+        timer.expires_after(start_.limits.sweep_interval);
         co_await timer.async_wait(asio::use_awaitable);
         hosts_.sweep();
         log_(Level::debug, "clients ", clients_.open_connections(), ", connections to hosts ", hosts_.open(),
--- a/src/router/driver.hpp
+++ b/src/router/driver.hpp
@@ -25,7 +25,7 @@
 
     void begin(); // ready for clients soon after
     void leave(std::function<void()> done); // ends service in order
-    void admit_by(std::shared_ptr<const Entrance> rules); // from now on; none: whoever finds room
+    void admit_by(std::shared_ptr<const AdmissionSettings> rules); // from now on; none: whoever finds room
     void move(const Address &discovery, const Address &platform); // where these are to be had from now on
 
   private:
@@ -45,7 +45,7 @@
     };
 
     void handle_rpc(clients::ReplyTarget reply, std::shared_ptr<const clients::OwnedRequest> held,
-                    Span age) override;
+                    Milliseconds age) override;
     void handle_client_left(const std::string &id) override;
     void handle_descriptors_exhausted() override;
 
@@ -64,7 +64,7 @@
     void withdraw(const Rpc &rpc); // what has not left
     void answer_all(); // the process may be killed at any moment now
     std::optional<hosts::Clock::time_point> latest_for(const Rpc &rpc) const; // to send a further pick
-    bool let_on(Rpc &rpc, const std::string &id, Span age); // else it is answered
+    bool let_on(Rpc &rpc, const std::string &id, Milliseconds age); // else it is answered
     void turn_away(Rpc &rpc, const std::string &id, Ticks back); // of which the module never hears
     void over(Rpc &rpc, bool served);
     void forget_if_over(const std::string &id);
@@ -94,7 +94,7 @@
     admission::DescriptorBudget ledger_; // of all descriptors
     hosts::Hosts hosts_;
     std::optional<admission::RpcLimiter> counter_; // where our settings tell of admission
-    std::shared_ptr<const Entrance> entrance_;
+    std::shared_ptr<const AdmissionSettings> entrance_;
     clients::Clients clients_;
     list::Watch watch_;
     rollout::Stream stream_;
--- a/src/router/hosts/exchange.cpp
+++ b/src/router/hosts/exchange.cpp
@@ -29,7 +29,8 @@
 
 std::optional<Ending> Exchange::feed(std::string_view bytes) {
     unread_.append(bytes);
-    const resp::Bounds bounds{limits_.value, limits_.words, limits_.depth, limits_.line};
+    const resp::Bounds bounds{limits_.max_value_bytes, limits_.max_arguments, limits_.max_nesting,
+                              limits_.max_resp_line_bytes};
     resp::Value answer;
     const resp::Scan got = resp::scan(unread_, bounds, answer);
     if (got == resp::Scan::more) return std::nullopt;
--- a/src/router/hosts/hosts.cpp
+++ b/src/router/hosts/hosts.cpp
@@ -42,7 +42,7 @@
         if (!socket_) co_return;
         // Stops a second copy of this answer, which comes a little later, from being read as the next RPC's.
         if (reusable) {
-            handed_.expires_after(home_.start_.limits.settle);
+            handed_.expires_after(home_.start_.limits.reuse_delay);
             co_await handed_.async_wait(as_tuple(use_awaitable));
         }
         Hosts::Place *const place = here();
@@ -96,7 +96,7 @@
             if (!fresh) socket_ = home_.take_idle(*place, idle_);
             if (!socket_) {
                 idle_.reset();
-                const auto until = std::min(until_, Clock::now() + home_.start_.limits.connect);
+                const auto until = std::min(until_, Clock::now() + home_.start_.limits.connect_timeout);
                 place->waiting.push_back(shared_from_this());
                 home_.dial_more(id_, *place);
                 handed_.expires_at(until);
@@ -154,7 +154,7 @@
 
     asio::awaitable<Ending> read() {
         Exchange exchange(home_.start_.limits, home_.start_.names.report_fields);
-        std::vector<char> room(home_.start_.limits.first_read);
+        std::vector<char> room(home_.start_.limits.first_read_bytes);
         for (;;) {
             const auto [failed, size] =
                 co_await socket_->async_read_some(asio::buffer(room), as_tuple(use_awaitable));
@@ -182,7 +182,7 @@
     std::uint64_t process_ = 0;
     int build_ = -1; // of its host when it was decided
     std::string kept_key_; // its key, where keys stay; else empty
-    std::optional<Span> idle_; // how long its connection had stood idle; none: a new one
+    std::optional<Milliseconds> idle_; // how long its connection had stood idle; none: a new one
     bool noted_ = false, cut_ = false, sent_ = false, refused_ = false;
 };
 
@@ -197,7 +197,7 @@
         place.dialing = 0;
         wake_waiting(place);
     }
-    if (place.ready && !ready) drain_until_ = Clock::now() + start_.limits.drain_for;
+    if (place.ready && !ready) drain_until_ = Clock::now() + start_.limits.drain_time;
     place.address = address;
     place.started = started;
     place.build = build;
@@ -215,7 +215,7 @@
 void Hosts::remove(const std::string &id) {
     const auto at = places_.find(id);
     if (at == places_.end()) return;
-    if (at->second.ready) drain_until_ = Clock::now() + start_.limits.drain_for;
+    if (at->second.ready) drain_until_ = Clock::now() + start_.limits.drain_time;
     drop_idle(at->second, 0);
     wake_waiting(at->second);
     places_.erase(at);
@@ -224,9 +224,10 @@
 // Opens connections before the first clients come. Stops the first second's RPCs from each waiting for a
 // new one, while clients open ever more of theirs.
 asio::awaitable<void> Hosts::warm_up() {
-    const auto until = Clock::now() + std::min(start_.limits.connect, start_.limits.warm_for);
+    const auto until = Clock::now() + std::min(start_.limits.connect_timeout, start_.limits.warm_up_timeout);
     const std::size_t wanted =
-        std::min(start_.limits.warm, start_.limits.hosts / 2 / std::max<std::size_t>(1, places_.size()));
+        std::min(start_.limits.warm_connections,
+                 start_.limits.host_connections / 2 / std::max<std::size_t>(1, places_.size()));
     for (auto &[id, place] : places_)
         for (std::size_t i = 0; place.ready && i < wanted && take_descriptor(); ++i) {
             ++place.dialing;
@@ -298,13 +299,15 @@
 // The one used last of those that have been quiet for some while, else the one quiet longest. Stops a second
 // copy of an answer that comes some milliseconds late from being read as the next RPC's, where there is a
 // choice.
-std::unique_ptr<Socket> Hosts::take_idle(Place &place, std::optional<Span> &idle) {
+std::unique_ptr<Socket> Hosts::take_idle(Place &place, std::optional<Milliseconds> &idle) {
     while (!place.idle.empty()) {
         const auto now = Clock::now();
-        const auto rested = [&](const Idle &one) { return now - one.since >= start_.limits.settle_long; };
+        const auto rested = [&](const Idle &one) {
+            return now - one.since >= start_.limits.preferred_reuse_delay;
+        };
         const auto last = std::find_if(place.idle.rbegin(), place.idle.rend(), rested);
         const auto at = last == place.idle.rend() ? place.idle.begin() : std::prev(last.base());
-        idle = std::chrono::floor<Span>(now - at->since);
+        idle = std::chrono::floor<Milliseconds>(now - at->since);
         if (!trust_.holds(*idle)) {
             drop_idle(place, 0);
             break;
@@ -324,7 +327,8 @@
     const Limits &limits = start_.limits;
     const std::size_t waiting = place.waiting.size();
     const std::size_t most =
-        std::min({waiting, limits.dials + waiting / limits.dial_more, limits.most_dials});
+        std::min({waiting, limits.concurrent_connects + waiting / limits.picks_per_extra_connect,
+                  limits.max_concurrent_connects});
     while (place.dialing < most) {
         if (!take_descriptor()) return;
         ++place.dialing;
@@ -345,7 +349,7 @@
 asio::awaitable<void> Hosts::dial(std::string id, std::uint64_t process, Address address) {
     auto socket = std::make_unique<Socket>(io_);
     Fuse fuse(io_.get_executor());
-    fuse.light(*socket, start_.limits.connect);
+    fuse.light(*socket, start_.limits.connect_timeout);
     const auto [failed] = co_await socket->async_connect(address, as_tuple(use_awaitable));
     fuse.put_out();
     boost::system::error_code ignored;
@@ -406,8 +410,8 @@
     trust_.fade();
     const auto now = Clock::now();
     const auto old = [&](const Idle &idle) {
-        const Span span = std::chrono::floor<Span>(now - idle.since);
-        return span > start_.limits.idle / 2 || !trust_.holds(span);
+        const Milliseconds span = std::chrono::floor<Milliseconds>(now - idle.since);
+        return span > start_.limits.idle_timeout / 2 || !trust_.holds(span);
     };
     for (auto &[id, place] : places_)
         for (; !place.idle.empty() && old(place.idle.front()); place.idle.pop_front(), --idle_)
--- a/src/router/hosts/hosts.hpp
+++ b/src/router/hosts/hosts.hpp
@@ -80,7 +80,7 @@
     bool may_send(bool decided_past_lease) const {
         return lease_holds() || (decided_past_lease && Clock::now() <= outage_until_);
     }
-    std::unique_ptr<asio::ip::tcp::socket> take_idle(Place &place, std::optional<Span> &idle);
+    std::unique_ptr<asio::ip::tcp::socket> take_idle(Place &place, std::optional<Milliseconds> &idle);
     void dial_more(const std::string &id, Place &place);
     asio::awaitable<void> dial(std::string id, std::uint64_t process, Address address);
     std::shared_ptr<Call> first_waiting(Place &place);
--- a/src/router/hosts/trust.hpp
+++ b/src/router/hosts/trust.hpp
@@ -15,18 +15,19 @@
     explicit Trust(const Limits &limits) : limits_(limits) {}
 
     // Ends by idle time, and of new connections: broken means without a byte of an answer.
-    void note_kept(Span idle, bool broken) { note(kept_[step(idle)], broken); }
+    void note_kept(Milliseconds idle, bool broken) { note(kept_[step(idle)], broken); }
     void note_new(bool broken) { note(new_, broken); }
     void fade() {
-        for (Ends &ends : kept_) ends.fade(limits_.trust_fade);
-        new_.fade(limits_.trust_fade);
+        for (Ends &ends : kept_) ends.fade(limits_.reuse_decay);
+        new_.fade(limits_.reuse_decay);
     }
 
     // Not where connections that stood so long, or less, break clearly more often than new ones do. Stops a
     // path that drops idle connections without a word from ending RPCs that may have run.
-    bool holds(Span idle) const {
+    bool holds(Milliseconds idle) const {
         const auto breaks = [&](const Ends &ends) {
-            return ends.used >= limits_.trust_least && ends.share() > new_.share() + limits_.trust_share;
+            return ends.used >= limits_.reuse_min_samples &&
+                   ends.share() > new_.share() + limits_.reuse_failure_margin;
         };
         return std::none_of(kept_.begin(), kept_.begin() + step(idle) + 1, breaks);
     }
@@ -39,13 +40,13 @@
     };
 
     void note(Ends &ends, bool broken) {
-        if (ends.used >= limits_.trust_most) ends.fade(limits_.trust_fade);
+        if (ends.used >= limits_.reuse_max_samples) ends.fade(limits_.reuse_decay);
         ends.used += 1, ends.broken += broken;
     }
 
     // Two steps for each doubling of the idle time.
-    static int step(Span idle) {
-        const double ms = static_cast<double>(std::max<Span::rep>(1, idle.count()));
+    static int step(Milliseconds idle) {
+        const double ms = static_cast<double>(std::max<Milliseconds::rep>(1, idle.count()));
         return std::min(static_cast<int>(2 * std::log2(ms)), kSteps - 1);
     }
 
--- a/src/router/list/watch.cpp
+++ b/src/router/list/watch.cpp
@@ -8,20 +8,20 @@
 using membership::LeaseRules;
 
 // A call that ends so soon without a byte had found its kept connection ended: it is asked once more.
-constexpr Span kStaleConnection{500};
+constexpr Milliseconds kStaleConnection{500};
 
 LeaseRules lease_rules(const Start &start) {
     const Limits &limits = start.limits;
     return {.told_after = limits.list_lease,
-            .watch_overrun = limits.list_told,
-            .moved_told = limits.list_moved_told,
-            .partial_told = limits.list_partial_told,
+            .watch_overrun = limits.list_watch_overrun,
+            .moved_told = limits.list_move_delay,
+            .partial_told = limits.list_partial_answer,
             .transit = limits.list_transit,
-            .stands_after = std::min(limits.list_stands, limits.list_lease * 5 / 6),
-            .line_full = limits.list_line_full,
-            .line_least = limits.list_line,
+            .stands_after = std::min(limits.list_watch_accepted, limits.list_lease * 5 / 6),
+            .line_full = limits.list_queue_full,
+            .line_least = limits.list_min_queue_wait,
             .outage_lasts = limits.list_outage,
-            .outage_goes_on = limits.list_outage_on,
+            .outage_goes_on = limits.list_outage_extension,
             .lapses_on_failure = !start.list_at_hand};
 }
 
@@ -82,7 +82,7 @@
     });
 }
 
-asio::awaitable<void> Watch::wait_for_lease(Span most) {
+asio::awaitable<void> Watch::wait_for_lease(Milliseconds most) {
     const auto until = Clock::now() + most;
     asio::steady_timer timer(io_);
     while (!lease_.holds(Clock::now()) && Clock::now() < until) {
@@ -93,7 +93,7 @@
 
 // --- calls ---
 
-asio::awaitable<void> Watch::pause(Span about) {
+asio::awaitable<void> Watch::pause(Milliseconds about) {
     pause_.expires_after(about * std::uniform_int_distribution(50, 100)(chance_) / 100);
     co_await pause_.async_wait(asio::as_tuple(asio::use_awaitable));
 }
@@ -104,8 +104,9 @@
 // fleet's routers that move together would fill discovery's line.
 Watch::Query Watch::next_query() {
     const bool whole = std::exchange(whole_due_, false);
-    if (whole || at_once_) return {whole, true, Span(1)};
-    return {false, false, start_.limits.list_hold * std::uniform_int_distribution(50, 100)(chance_) / 100};
+    if (whole || at_once_) return {whole, true, Milliseconds(1)};
+    return {false, false,
+            start_.limits.list_poll_wait * std::uniform_int_distribution(50, 100)(chance_) / 100};
 }
 
 asio::awaitable<void> Watch::run() {
@@ -124,14 +125,14 @@
             silent = unreadable = 0;
             // Stops a discovery that answers at once with nothing new from being asked without a pause.
             const bool hasty = Clock::now() - asked < query.hold / 4;
-            if (!query.at_once && version == version_ && hasty) co_await pause(limits.list_again);
+            if (!query.at_once && version == version_ && hasty) co_await pause(limits.list_retry_pause);
             continue;
         }
         link_.close();
         whole_due_ = whole_due_ || query.whole;
         at_once_ = true;
         // Nothing of it is believed; the same is asked for at once, as a watch goes on only then.
-        if (result.outcome == Outcome::unreadable && ++unreadable < limits.spoilt) {
+        if (result.outcome == Outcome::unreadable && ++unreadable < limits.max_unreadable_answers) {
             log_(Level::info, "list: spoilt: ", why);
             continue;
         }
@@ -141,17 +142,18 @@
             continue;
         }
         if (moves != moves_) continue;
-        const bool again = start_.list_at_hand || (silent > 0 && silent <= limits.list_tries);
+        const bool again = start_.list_at_hand || (silent > 0 && silent <= limits.max_silent_watch_retries);
         if (!again) break;
         // An agent beside this router has to be heard as soon as it knows anything again; of a discovery for
         // all the next call is tried a few times soon, ever later.
         if (!std::exchange(said_failing_, true)) log_(Level::warning, "list: ", why);
-        co_await pause(start_.list_at_hand ? limits.list_again : limits.list_again * (1 << silent++));
+        co_await pause(start_.list_at_hand ? limits.list_retry_pause
+                                           : limits.list_retry_pause * (1 << silent++));
     }
     log_(Level::warning, "list: ", why);
     running_ = false;
     const auto now = Clock::now(), until = std::max(lease_until_, outage_until_);
-    failed_(now <= until ? std::chrono::floor<Span>(until - now) : Span(-1));
+    failed_(now <= until ? std::chrono::floor<Milliseconds>(until - now) : Milliseconds(-1));
 }
 
 CallFailure Watch::failure_of(Outcome outcome) {
@@ -168,7 +170,7 @@
 
 asio::awaitable<Watch::Result> Watch::ask(const Query &query) {
     const Limits &limits = start_.limits;
-    http::Answer answer(limits.head, limits.list_body);
+    http::Answer answer(limits.max_http_head_bytes, limits.max_list_body_bytes);
     const std::string path = query.whole ? "/v1/endpoints"
                                          : "/v1/endpoints?from=" + std::to_string(version_) +
                                                "&hold_ms=" + std::to_string(query.hold.count());
@@ -187,7 +189,7 @@
     else
         lease_.failed(failure_of(result.outcome), ended);
     lease_changed();
-    const auto took = std::chrono::duration_cast<Span>(ended - asked);
+    const auto took = std::chrono::duration_cast<Milliseconds>(ended - asked);
     log_(Level::debug, "list: call ", calls_,
          " ended: ", result.outcome == Outcome::taken ? "version " + std::to_string(version_) : result.why,
          ", after ", took.count(), " ms");
@@ -197,7 +199,7 @@
 // One call, as the lease is told of it. Nothing sends it again by itself.
 asio::awaitable<http::Call> Watch::call(const Query &query, const std::string &path, http::Answer &answer) {
     const Limits &limits = start_.limits;
-    const Span wait = query.at_once ? limits.list_whole : query.hold + limits.list_grace;
+    const Milliseconds wait = query.at_once ? limits.list_full_timeout : query.hold + limits.list_poll_grace;
     const bool watches = !query.at_once;
     log_(Level::debug, "list: call ", ++calls_, " ", path);
     lease_.asked(Clock::now(), watches ? std::optional(query.hold) : std::nullopt);
--- a/src/router/list/watch.hpp
+++ b/src/router/list/watch.hpp
@@ -26,7 +26,7 @@
     using LeaseTold = std::function<void(Clock::time_point until, Clock::time_point outage_until)>;
     // Calls have failed and are not repeated until `begin`. The lease, or an outage that is presumed, leaves
     // `left`; below 0 where both are over.
-    using Failed = std::function<void(Span left)>;
+    using Failed = std::function<void(Milliseconds left)>;
 
     // `told` is called for each answer taken, also where nothing has changed: discovery lives.
     Watch(asio::io_context &io, const Start &start, const Log &log, Told told, Failed failed,
@@ -34,7 +34,7 @@
 
     void begin(); // goes on until a call fails; of an agent at hand, for good
     // Returns once the list may be used, or `most` has passed. Does not begin the calls.
-    asio::awaitable<void> wait_for_lease(Span most);
+    asio::awaitable<void> wait_for_lease(Milliseconds most);
     void move_to(const Address &address); // asks there at once for what has changed
     // The list that the process was started with: of unknown age, so that nothing is sent by it alone.
     void start_from(const Listing &listing);
@@ -44,7 +44,7 @@
     struct Query {
         bool whole; // the whole list, else what has changed
         bool at_once; // discovery is not to wait for a change
-        Span hold; // for which it may wait
+        Milliseconds hold; // for which it may wait
     };
     struct Result {
         Outcome outcome;
@@ -58,7 +58,7 @@
     asio::awaitable<http::Call> call(const Query &query, const std::string &path, http::Answer &answer);
     Result read(const Query &query, http::Call got, const http::Answer &answer);
     void take(const Listing &listing);
-    asio::awaitable<void> pause(Span about);
+    asio::awaitable<void> pause(Milliseconds about);
 
     void lease_changed();
     void watch_lease(); // logs its end, and looks whether the watch still stands
--- a/src/router/rollout/news.cpp
+++ b/src/router/rollout/news.cpp
@@ -6,41 +6,41 @@
 
 namespace {
 
-Ticks age_of(const json &from) { return ticks_down(number(from, "age_ms") / 1000); }
+Ticks age_of(const json &from) { return ticks_from_seconds(read_number(from, "age_ms") / 1000); }
 
 } // namespace
 
 RolloutUpdate read_news(const json &from) {
     RolloutUpdate news{};
     news.valid = true;
-    news.build = whole(from, "build");
-    news.stage = whole(from, "stage");
-    news.phase = word<Phase>(from, "phase",
-                             {{"Progressing", Phase::on_trial},
-                              {"Aborting", Phase::rolling_back},
-                              {"Healthy", Phase::released},
-                              {"Aborted", Phase::withdrawn}});
-    if (news.stage < 0) wrong("stage", "below 0");
-    news.cap = number(from, "cap");
+    news.build = read_int(from, "build");
+    news.stage = read_int(from, "stage");
+    news.phase = read_enum<Phase>(from, "phase",
+                                  {{"Progressing", Phase::on_trial},
+                                   {"Aborting", Phase::rolling_back},
+                                   {"Healthy", Phase::released},
+                                   {"Aborted", Phase::withdrawn}});
+    if (news.stage < 0) throw_field_error("stage", "below 0");
+    news.cap = read_number(from, "cap");
     news.age = age_of(from);
     return news;
 }
 
 Told read_line(std::string_view line, const Names &names) {
     const json row = json::parse(line, nullptr, false);
-    if (!row.is_object()) wrong("stream", "a line that is not an object");
-    if (!has(row, "type")) return {};
-    const std::string type = text(row, "type");
+    if (!row.is_object()) throw_field_error("stream", "a line that is not an object");
+    if (!has_field(row, "type")) return {};
+    const std::string type = read_string(row, "type");
     if (type != "stage" && type != "tally" && type != "flag") return {};
-    const json &object = need(row, "object");
+    const json &object = required_field(row, "object");
     if (type == "stage") return read_news(object);
-    if (type == "flag") return Flag{text(object, "server"), age_of(object)};
+    if (type == "flag") return Flag{read_string(object, "server"), age_of(object)};
     PlatformStats tally{};
-    tally.build = whole(object, "build");
-    tally.method = place_of(names.methods, text(object, "class"), "class");
-    tally.picks = whole(object, "count");
-    tally.failed = whole(object, "failed");
-    tally.latency = has(object, "mean_ms") ? number(object, "mean_ms") / 1000 : 0;
+    tally.build = read_int(object, "build");
+    tally.method = place_of(names.methods, read_string(object, "class"), "class");
+    tally.picks = read_int(object, "count");
+    tally.failed = read_int(object, "failed");
+    tally.latency = has_field(object, "mean_ms") ? read_number(object, "mean_ms") / 1000 : 0;
     tally.age = age_of(object);
     return tally;
 }
--- a/src/router/rollout/stream.cpp
+++ b/src/router/rollout/stream.cpp
@@ -15,7 +15,7 @@
 
 asio::awaitable<void> Stream::run() {
     const Limits &limits = start_.limits;
-    Span pause = limits.retry_least;
+    Milliseconds pause = limits.min_retry_pause;
     const http::Lines::Take take = [this](std::string_view line) {
         told_(read_line(line, start_.names));
         return true;
@@ -30,8 +30,9 @@
         }
         if (std::exchange(moved_, false)) continue;
         // One that has told something is followed at once, unless it is the next in a row to end early.
-        const bool lasted = std::chrono::steady_clock::now() - began > limits.retry_least;
-        pause = told && lasted ? Span(0) : std::clamp(pause * 2, limits.retry_least, limits.retry_most);
+        const bool lasted = std::chrono::steady_clock::now() - began > limits.min_retry_pause;
+        pause = told && lasted ? Milliseconds(0)
+                               : std::clamp(pause * 2, limits.min_retry_pause, limits.max_retry_pause);
         log_(Level::info, "stream ended, again in about ", pause.count(), " ms");
         timer_.expires_after(pause * std::uniform_int_distribution(75, 125)(chance_) / 100);
         co_await timer_.async_wait(as_tuple(use_awaitable));
--- a/src/router/rollout/votes.cpp
+++ b/src/router/rollout/votes.cpp
@@ -10,9 +10,9 @@
 asio::awaitable<void> Votes::run() {
     while (waiting_) {
         const std::string vote = std::exchange(waiting_, std::nullopt).value();
-        http::Answer answer(start_.limits.head, start_.limits.news_line);
-        const http::Call got =
-            co_await link_.call("POST", "/apis/fleet/opinions", vote, start_.limits.vote_wait, false, answer);
+        http::Answer answer(start_.limits.max_http_head_bytes, start_.limits.max_stream_line_bytes);
+        const http::Call got = co_await link_.call("POST", "/apis/fleet/opinions", vote,
+                                                   start_.limits.vote_timeout, false, answer);
         RolloutUpdate news{}; // not valid: not counted, or not known to be
         if (got == http::Call::answered && answer.status() == 200) {
             try {
--- a/src/router/service.cpp
+++ b/src/router/service.cpp
@@ -42,13 +42,13 @@
 void Service::reread_wishes() {
     if (!start_.wishes_again || reader_.joinable()) return;
     reader_ = std::jthread([this] {
-        std::shared_ptr<const Entrance> entrance;
+        std::shared_ptr<const AdmissionSettings> entrance;
         std::string fault;
         try {
-            Wishes wishes = start_.wishes_again();
-            if (wishes.entrance) {
-                check_fits(start_, *wishes.entrance);
-                entrance = std::make_shared<const Entrance>(std::move(*wishes.entrance));
+            Settings wishes = start_.wishes_again();
+            if (wishes.admission) {
+                check_fits(start_, *wishes.admission);
+                entrance = std::make_shared<const AdmissionSettings>(std::move(*wishes.admission));
             }
         } catch (const std::exception &bad) {
             fault = bad.what();
@@ -57,7 +57,7 @@
     });
 }
 
-void Service::take_entrance(std::shared_ptr<const Entrance> entrance, const std::string &fault) {
+void Service::take_entrance(std::shared_ptr<const AdmissionSettings> entrance, const std::string &fault) {
     reader_.join();
     if (!fault.empty()) return log_(Level::error, "settings kept: ", fault);
     log_(Level::info, "settings read again, crowds ", entrance ? entrance->crowds.size() : 0, ", networks ",
--- a/src/router/service.hpp
+++ b/src/router/service.hpp
@@ -17,7 +17,7 @@
     void heed_signals();
     void reread();
     void reread_wishes();
-    void take_entrance(std::shared_ptr<const Entrance> entrance, const std::string &fault);
+    void take_entrance(std::shared_ptr<const AdmissionSettings> entrance, const std::string &fault);
 
     std::string path_;
     Environment environment_;
--- a/src/router/start.hpp
+++ b/src/router/start.hpp
@@ -29,14 +29,15 @@
     json news; // the platform's newest, in its own form
     json known; // the list as last had, in discovery's form
     bool list_at_hand = false; // lists are pushed to an agent beside this router: what it has counts as told
-    std::optional<Registry> registry{}; // holds the list of hosts in discovery's place
+    std::optional<RegistrySettings> registry{}; // holds the list of hosts in discovery's place
     std::shared_ptr<membership::Access> registry_access{}; // where it is, and by what right
-    std::shared_ptr<const Entrance> entrance{}; // who may come in; none: whoever finds room
-    std::function<Wishes()>
+    std::shared_ptr<const AdmissionSettings> entrance{}; // who may come in; none: whoever finds room
+    std::function<Settings()>
         wishes_again{}; // our own settings, read anew; throws as the first reading did. Any thread.
     std::optional<DeploymentConfig>
         rehearsed{}; // of another shape of deployment, whose decisions are only counted
-    std::optional<Scheme> release{}; // staged releases by cell; none: one cell for all, as the platform tells
+    std::optional<ReleaseSettings>
+        release{}; // staged releases by cell; none: one cell for all, as the platform tells
 };
 
 using Environment = std::function<const char *(const char *)>;
@@ -46,9 +47,9 @@
 Start read_start_file(const std::string &path, const Environment &environment);
 
 // Puts our own settings beside what the platform tells; throws BadInput where they do not fit.
-void take_wishes(Start &start, const Wishes &wishes);
-void check_fits(const Start &start, const Scheme &scheme);
-void check_fits(const Start &start, const Entrance &entrance);
+void take_wishes(Start &start, const Settings &wishes);
+void check_fits(const Start &start, const ReleaseSettings &scheme);
+void check_fits(const Start &start, const AdmissionSettings &entrance);
 
 // The terms in a file of another deployment's settings; throws BadInput naming the key where they are
 // unsound, or name other methods, customers, zones or kinds than the configuration's, by whose places the
--- a/src/settings/load.cpp
+++ b/src/settings/load.cpp
@@ -1,16 +1,17 @@
 #include "settings/load.hpp"
 
-#include "base/beside.hpp"
+#include "base/shared_library.hpp"
 #include "settings/read.hpp"
 
 namespace pineridge {
 
-Wishes load_wishes_file(const std::string &path) {
-    const auto read = reinterpret_cast<ReadWishes>(symbol_beside("pineridge_settings.so", kReadWishes));
-    Wishes wishes;
-    std::string fault;
-    if (!read(path, sizeof wishes, wishes, fault)) throw BadInput(fault);
-    return wishes;
+Settings load_settings_file(const std::string &path) {
+    const auto read =
+        reinterpret_cast<ReadSettings>(load_symbol("pineridge_settings.so", kReadSettingsSymbol));
+    Settings settings;
+    std::string error;
+    if (!read(path, sizeof settings, settings, error)) throw BadInput(error);
+    return settings;
 }
 
 } // namespace pineridge
--- a/src/settings/load.hpp
+++ b/src/settings/load.hpp
@@ -1,5 +1,5 @@
-// What the settings' library and the program agree on: both are of one build, which the size of what is read
-// tells.
+// The interface between the program and pineridge_settings.so. Both must come from one build; the size of
+// Settings is compared as a check.
 #pragma once
 
 #include <cstddef>
@@ -7,10 +7,11 @@
 
 namespace pineridge {
 
-struct Wishes;
+struct Settings;
 
-// False, with the fault's text, for settings that cannot be used. Throws nothing.
-using ReadWishes = bool (*)(const std::string &path, std::size_t size, Wishes &wishes, std::string &fault);
-inline constexpr char kReadWishes[] = "pineridge_read_wishes";
+// Reads the settings file. Returns false and sets `error` if the settings cannot be used. Does not throw.
+using ReadSettings = bool (*)(const std::string &path, std::size_t size, Settings &settings,
+                              std::string &error);
+inline constexpr char kReadSettingsSymbol[] = "pineridge_read_wishes";
 
 } // namespace pineridge
--- a/src/settings/read.hpp
+++ b/src/settings/read.hpp
@@ -1,34 +1,35 @@
-// Our own settings: XML, validated against src/settings/pineridge.xsd, which is compiled into the reader. The
-// reader and libxml2 lie in a library of their own, loaded when settings are told: a router without any does
-// not carry them.
+// The operators' settings: an XML file, validated against src/settings/pineridge.xsd, which is compiled into
+// the reader. The reader and libxml2 are in a shared library that is loaded only when a settings file is
+// configured, so that a router without one does not carry them.
 #pragma once
 
 #include "base/bad_input.hpp"
-#include "settings/entrance.hpp"
+#include "settings/admission.hpp"
 #include "settings/registry.hpp"
-#include "settings/scheme.hpp"
+#include "settings/release.hpp"
 
 #include <optional>
 
 namespace pineridge {
 
-// All that the settings may wish for; what a file leaves out is off.
-struct Wishes {
-    std::optional<Scheme> release;
-    std::optional<Registry> registry;
-    std::optional<Entrance> entrance;
-    std::string
-        rehearsal{}; // file of the settings of another shape of deployment; empty: nothing is rehearsed
+// The parts of a settings file; a part that the file leaves out is off.
+struct Settings {
+    std::optional<ReleaseSettings> release;
+    std::optional<RegistrySettings> registry;
+    std::optional<AdmissionSettings> admission;
+    std::string rehearsal{}; // configuration file of the deployment to rehearse; empty: there is no rehearsal
 };
 
-// Both throw BadInput as "FILE:LINE: KEY: what is wrong". `file` names the text in messages.
-Wishes read_wishes(const std::string &text, const std::string &file);
-Wishes read_wishes_file(const std::string &path);
+// Parse settings. Both throw BadInput with "FILE:LINE: KEY: FAULT"; `file` is the FILE of that text.
+Settings read_settings(const std::string &text, const std::string &file);
+Settings read_settings_file(const std::string &path);
 
-// The same, by the library beside the program; throws std::runtime_error where it cannot be loaded.
-Wishes load_wishes_file(const std::string &path);
+// Does the same through the shared library in the program's directory, which it loads first. Throws
+// std::runtime_error if the library cannot be loaded.
+Settings load_settings_file(const std::string &path);
 
-// Ticks since the Unix epoch of "2026-12-24T18:00:00+01:00"; throws BadInput naming the key.
-Ticks read_moment(const std::string &text, const std::string &key);
+// Converts a time such as "2026-12-24T18:00:00+01:00" to ticks since the Unix epoch. Throws BadInput that
+// names the key.
+Ticks read_timestamp(const std::string &text, const std::string &key);
 
 } // namespace pineridge
--- a/src/settings/registry.hpp
+++ b/src/settings/registry.hpp
@@ -1,4 +1,5 @@
-// What the operators' own settings say of a registry that holds the list of hosts. Plain data, in ticks.
+// The operators' settings of a registry that holds the list of hosts: plain data, read and checked by
+// settings/read.cpp. Times are ticks unless the name says otherwise.
 #pragma once
 
 #include "logic.hpp"
@@ -8,24 +9,43 @@
 
 namespace pineridge {
 
-struct Registry {
+struct RegistrySettings {
     enum class Kind { etcd, blocking };
-    Kind kind = Kind::etcd; // etcd's v3 API, or blocking queries as Consul's KV API answers them
-    std::vector<std::string> endpoints; // addresses of its members
+    Kind kind = Kind::etcd; // the etcd v3 API, or blocking queries as in Consul's KV API
+    std::vector<std::string> endpoints; // addresses of the registry's members
     std::string prefix; // of the hosts' keys
-    std::string known_file; // the last known list is kept there; empty: none is
-    std::string token_file; // its first line goes as authorization; never logged
-    double doubt_share = 0.5; // a whole read that lacks this share of the hosts is doubted
-    int doubt_hosts = 3; // and so many at least
-    Ticks doubt_for = 50000, confirm_after = 10000, lag_for = 100000;
-    Ticks progress = 10000, quiet = 25000, look = 100000, answer = 20000;
-    int page = 500; // keys
-    Ticks spread = 20000; // whole reads of all routers, when a registry comes back
-    Ticks wait = 50000, gap = 500, contact = 50000; // of blocking queries
-    bool plaintext = false; // told so; else there is TLS
-    std::string authorities, certificate, key, name; // files for TLS, and the name in the other's certificate
-    std::string own_key; // the router's own, under a lease; empty: none
-    int own_life_s = 10; // of the lease
+    std::string cache_file; // keeps the last known list across restarts; empty: the list is not kept
+    std::string token_file; // its first line is sent as authorization and never logged
+
+    // A full read that lacks at least this share and this number of the known hosts at once is doubted: it is
+    // applied only after a second read confirms it or the time is over.
+    double doubt_share = 0.5;
+    int min_doubted_hosts = 3;
+    Ticks doubt_timeout = 50000;
+    Ticks confirm_after = 10000; // before the second read
+    Ticks max_lag_time = 100000; // of answers below the known revision, before the registry counts as reset
+
+    // The watch of an etcd registry.
+    Ticks progress_interval = 10000; // between progress requests
+    Ticks watch_timeout = 25000; // a watch without any message for this long has failed
+    Ticks audit_interval = 100000; // between checks for missed changes
+    Ticks answer_timeout = 20000;
+    int page_size = 500; // keys
+    Ticks read_spread = 20000; // full reads of all routers are spread over this when a registry returns
+
+    // Blocking queries.
+    Ticks query_wait = 50000; // the longest time that the registry delays its answer
+    Ticks query_gap = 500; // between an answer and the next query
+    Ticks max_leader_silence =
+        50000; // answers of a member without contact to its leader for longer are dropped
+
+    bool plaintext = false; // connections use TLS unless this is set
+    std::string ca_file;
+    std::string certificate_file;
+    std::string key_file;
+    std::string server_name; // expected in the registry's certificate
+    std::string registration_key; // the router's own key, held under a lease; empty: it registers none
+    int registration_ttl_s = 10; // of that lease
 };
 
 } // namespace pineridge
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -1,3 +1,5 @@
+// The simulator's adapter: reads a batch of events a line from standard input and writes the actions a line
+// to standard output. Exit status 0: end of input; 2: a line that cannot be used.
 #include "simhost/reader.hpp"
 
 #include <iostream>
--- a/src/simhost/reader.hpp
+++ b/src/simhost/reader.hpp
@@ -1,4 +1,5 @@
-// Reads the simulator's wire and calls the decision module; its words go no further than this folder.
+// Translates the simulator's events into calls of the decision module. The names of the simulator's protocol
+// are used in this folder only.
 #pragma once
 
 #include "terms/fields.hpp"
@@ -10,17 +11,19 @@
 
 namespace pineridge::simhost {
 
-// The instances that live in this process, and the shared numbered lists they are told of.
+// Holds the router instances of this process and the numbered host lists that they share.
 class Reader {
   public:
-    // Takes one line, gives the reply line. Throws BadInput for what the wire page does not allow.
+    // Applies one line of events and returns the reply line with the resulting actions. Throws BadInput, with
+    // the frame and the field, for a line that violates the protocol.
     std::string reply(const std::string &line);
 
   private:
-    void take(const json &event, Ticks now, std::vector<std::string> &touched);
+    // Adds the instance that the event is addressed to, if any, to `affected`.
+    void apply(const json &event, Ticks now, std::vector<std::string> &affected);
 
-    std::map<std::string, std::unique_ptr<Router>> routers_;
-    std::array<std::vector<HostEntry>, 16> sheets_;
+    std::map<std::string, std::unique_ptr<Router>> routers_; // by name
+    std::array<std::vector<HostEntry>, 16> host_lists_;
 };
 
 } // namespace pineridge::simhost
--- a/src/simhost/writer.hpp
+++ b/src/simhost/writer.hpp
@@ -1,4 +1,4 @@
-// Writes the module's answers as the simulator's messages.
+// Translates the decision module's decisions into the simulator's actions.
 #pragma once
 
 #include "logic.hpp"
@@ -9,6 +9,7 @@
 
 namespace pineridge::simhost {
 
+// The action of the instance `who`; null for a decision that has none.
 nlohmann::json action(const std::string &who, const Decision &decision);
 
 } // namespace pineridge::simhost
--- a/src/terms/terms.cpp
+++ b/src/terms/terms.cpp
@@ -6,43 +6,43 @@
 
 namespace {
 
-Method read_method(const json &from) {
+Method read_method(const json &object) {
     Method method{};
-    method.repeat_policy = word<RepeatPolicy>(from, "repeat",
-                                              {{"read_like", RepeatPolicy::idempotent},
-                                               {"idempotency_key", RepeatPolicy::tokened},
-                                               {"non_idempotent", RepeatPolicy::non_idempotent}});
-    method.token_scope = word<TokenScope>(
-        from, "group", {{"all", TokenScope::all}, {"zone", TokenScope::zone}, {"cell", TokenScope::cell}});
-    method.soft_deadline = ticks(from, "aim");
-    method.token_window = ticks(from, "window");
-    method.utility = number(from, "worth");
-    method.streams_answer = flag(from, "stream");
+    method.repeat_policy = read_enum<RepeatPolicy>(object, "repeat",
+                                                   {{"read_like", RepeatPolicy::idempotent},
+                                                    {"idempotency_key", RepeatPolicy::tokened},
+                                                    {"non_idempotent", RepeatPolicy::non_idempotent}});
+    method.token_scope = read_enum<TokenScope>(
+        object, "group", {{"all", TokenScope::all}, {"zone", TokenScope::zone}, {"cell", TokenScope::cell}});
+    method.soft_deadline = read_ticks(object, "aim");
+    method.token_window = read_ticks(object, "window");
+    method.utility = read_number(object, "worth");
+    method.streams_answer = read_bool(object, "stream");
     return method;
 }
 
-RolloutConfig read_rollout(const json &from) {
+RolloutConfig read_rollout(const json &object) {
     RolloutConfig rollout{};
-    rollout.advance_policy = word<AdvancePolicy>(from, "control",
-                                                 {{"first_voice", AdvancePolicy::any_vote},
-                                                  {"by_count", AdvancePolicy::share_of_votes},
-                                                  {"automatic", AdvancePolicy::timer}});
-    rollout.replaces_hosts = word<bool>(from, "swap", {{"parallel", false}, {"replace", true}});
-    rollout.cap_by_method = word<bool>(from, "capScope", {{"all", false}, {"each_class", true}});
-    rollout.sticky_keys = flag(from, "keysStay");
-    rollout.key_affinity = mark(from, "warmKeys");
-    rollout.guarded_stages = whole(from, "guardedStages");
-    rollout.votes_to_advance = whole(from, "toAdvance");
-    rollout.picks_above_cap = number(from, "uncounted");
-    rollout.flag_share = number(from, "flagShare");
-    rollout.exposure_window = ticks(from, "window");
-    rollout.vote_lifetime = ticks(from, "voteTtl");
-    if (has(from, "voteAllowance")) rollout.votes_per_s = number(from, "voteAllowance");
-    if (rollout.votes_per_s < 0) wrong("voteAllowance", "below 0");
-    rollout.stage_shares = numbers(from, "rings");
-    rollout.stage_caps = numbers(from, "stageCap");
-    if (rollout.stage_shares.empty()) wrong("rings", "empty");
-    if (rollout.stage_caps.empty()) wrong("stageCap", "empty");
+    rollout.advance_policy = read_enum<AdvancePolicy>(object, "control",
+                                                      {{"first_voice", AdvancePolicy::any_vote},
+                                                       {"by_count", AdvancePolicy::share_of_votes},
+                                                       {"automatic", AdvancePolicy::timer}});
+    rollout.replaces_hosts = read_enum<bool>(object, "swap", {{"parallel", false}, {"replace", true}});
+    rollout.cap_by_method = read_enum<bool>(object, "capScope", {{"all", false}, {"each_class", true}});
+    rollout.sticky_keys = read_bool(object, "keysStay");
+    rollout.key_affinity = read_optional_bool(object, "warmKeys");
+    rollout.guarded_stages = read_int(object, "guardedStages");
+    rollout.votes_to_advance = read_int(object, "toAdvance");
+    rollout.picks_above_cap = read_number(object, "uncounted");
+    rollout.flag_share = read_number(object, "flagShare");
+    rollout.exposure_window = read_ticks(object, "window");
+    rollout.vote_lifetime = read_ticks(object, "voteTtl");
+    if (has_field(object, "voteAllowance")) rollout.votes_per_s = read_number(object, "voteAllowance");
+    if (rollout.votes_per_s < 0) throw_field_error("voteAllowance", "below 0");
+    rollout.stage_shares = read_numbers(object, "rings");
+    rollout.stage_caps = read_numbers(object, "stageCap");
+    if (rollout.stage_shares.empty()) throw_field_error("rings", "empty");
+    if (rollout.stage_caps.empty()) throw_field_error("stageCap", "empty");
     return rollout;
 }
 
@@ -50,34 +50,35 @@
 
 DeploymentConfig read_terms(const json &profile) {
     DeploymentConfig terms{};
-    const json &allowed = need(profile, "permissions");
-    const json &rules = need(profile, "rules");
-    terms.instances = std::max(1, whole(profile, "instances"));
-    if (has(profile, "ordinal")) terms.ordinal = place(profile, "ordinal", terms.instances);
-    terms.requests_host_list = word<bool>(profile, "membershipMode", {{"push", false}, {"ask", true}});
-    terms.may_cancel = flag(allowed, "cancel");
-    terms.exchanges_summaries = flag(allowed, "peers");
-    terms.second_copies = flag(allowed, "secondCopies");
-    terms.advise_retry_after = flag(allowed, "retryAfter");
-    terms.max_picks = whole(allowed, "maxAttempts");
-    terms.max_retry_after = ticks(allowed, "maxRetryAfter");
-    if (has(allowed, "keepalive")) terms.keepalive = ticks(allowed, "keepalive");
-    if (terms.keepalive < 0) wrong("keepalive", "below 0");
-    terms.utility_per_work = word<bool>(profile, "valueBy", {{"request", false}, {"work", true}});
-    terms.warm_up_time = ticks(rules, "warmUp");
-    terms.overload_window = ticks(rules, "overloadFor");
-    terms.cold_capacity_share = number(rules, "coldShare");
-    terms.overload_multiple = number(rules, "tipMultiple");
-    for (const json &method : list(profile, "classes")) terms.methods.push_back(read_method(method));
-    if (terms.methods.empty()) wrong("classes", "empty");
-    if (has(profile, "tenants"))
-        for (const json &tenant : list(profile, "tenants"))
-            terms.tenant_quotas.push_back(has(tenant, "quotaPerS") ? number(tenant, "quotaPerS") : 0);
-    const json &fields = need(profile, "report");
-    if (has(fields, "fields"))
-        for (const json &name : list(fields, "fields"))
+    const json &permissions = required_field(profile, "permissions");
+    const json &rules = required_field(profile, "rules");
+    terms.instances = std::max(1, read_int(profile, "instances"));
+    if (has_field(profile, "ordinal")) terms.ordinal = read_index(profile, "ordinal", terms.instances);
+    terms.requests_host_list = read_enum<bool>(profile, "membershipMode", {{"push", false}, {"ask", true}});
+    terms.may_cancel = read_bool(permissions, "cancel");
+    terms.exchanges_summaries = read_bool(permissions, "peers");
+    terms.second_copies = read_bool(permissions, "secondCopies");
+    terms.advise_retry_after = read_bool(permissions, "retryAfter");
+    terms.max_picks = read_int(permissions, "maxAttempts");
+    terms.max_retry_after = read_ticks(permissions, "maxRetryAfter");
+    if (has_field(permissions, "keepalive")) terms.keepalive = read_ticks(permissions, "keepalive");
+    if (terms.keepalive < 0) throw_field_error("keepalive", "below 0");
+    terms.utility_per_work = read_enum<bool>(profile, "valueBy", {{"request", false}, {"work", true}});
+    terms.warm_up_time = read_ticks(rules, "warmUp");
+    terms.overload_window = read_ticks(rules, "overloadFor");
+    terms.cold_capacity_share = read_number(rules, "coldShare");
+    terms.overload_multiple = read_number(rules, "tipMultiple");
+    for (const json &method : read_array(profile, "classes")) terms.methods.push_back(read_method(method));
+    if (terms.methods.empty()) throw_field_error("classes", "empty");
+    if (has_field(profile, "tenants"))
+        for (const json &tenant : read_array(profile, "tenants"))
+            terms.tenant_quotas.push_back(has_field(tenant, "quotaPerS") ? read_number(tenant, "quotaPerS")
+                                                                         : 0);
+    const json &report = required_field(profile, "report");
+    if (has_field(report, "fields"))
+        for (const json &name : read_array(report, "fields"))
             terms.report_fields.push_back(name.is_string() ? name.get<std::string>() : "");
-    terms.rollout = read_rollout(need(profile, "familyInfo"));
+    terms.rollout = read_rollout(required_field(profile, "familyInfo"));
     return terms;
 }
 
--- a/src/terms/terms.hpp
+++ b/src/terms/terms.hpp
@@ -1,10 +1,11 @@
-// The one reader of what a deployment tells an instance, shared by the simulator's adapter and the router.
+// Reads the deployment's settings of a router instance, for the simulator's adapter and for the router.
 #pragma once
 
 #include "terms/fields.hpp"
 
 namespace pineridge {
 
+// Throws BadInput that names the field at fault.
 DeploymentConfig read_terms(const json &profile);
 
 } // namespace pineridge
--- a/standins/checker/release.cpp
+++ b/standins/checker/release.cpp
@@ -27,7 +27,7 @@
     int stage;
 };
 
-bool frozen_at(const Scheme &scheme, const std::map<std::string, FreezeRow> &freezes,
+bool frozen_at(const ReleaseSettings &scheme, const std::map<std::string, FreezeRow> &freezes,
                const std::string &service, const CellName &cell, std::int64_t now) {
     for (const auto &[id, row] : freezes)
         if (row.covers(service, cell, now)) return true;
@@ -39,14 +39,14 @@
 }
 
 // Walks through time word by word, and in steps of 10 ms between: plain, slow, and unlike the router's way.
-Line line_of(const Scheme &scheme, const std::vector<Step> &steps, const std::string &build,
+Line line_of(const ReleaseSettings &scheme, const std::vector<Step> &steps, const std::string &build,
              const CellName &cell, std::int64_t from, std::int64_t to) {
     const std::string service = build.substr(0, build.find('/'));
     Line line;
     std::map<std::string, FreezeRow> freezes;
     std::map<std::string, double> caps{{"/", scheme.cap}};
-    for (const Part &zone : scheme.zones) caps[zone.name + "/"] = zone.cap;
-    for (const Part &customer : scheme.customers) caps["/" + customer.name] = customer.cap;
+    for (const Segment &zone : scheme.zones) caps[zone.name + "/"] = zone.cap;
+    for (const Segment &customer : scheme.customers) caps["/" + customer.name] = customer.cap;
     std::map<std::string, double> in_force = caps;
     std::map<CellName, int> stages; // told
     int stood = 0;
@@ -57,9 +57,9 @@
         for (auto &[key, cap] : in_force)
             if (!frozen || caps[key] < cap) cap = caps[key];
         std::size_t released = 0;
-        for (const auto &[at, stage] : stages) released += stage == scheme.released();
+        for (const auto &[at, stage] : stages) released += stage == scheme.released_stage();
         double share = scheme.stages[stood];
-        if (stood > 0 && released < scheme.cells())
+        if (stood > 0 && released < scheme.cell_count())
             share = std::min({share, in_force["/"], in_force[cell.first + "/"], in_force["/" + cell.second]});
         if (line.shares.empty() || line.shares.back().second != share) line.shares.emplace_back(now, share);
     };
@@ -97,7 +97,7 @@
     std::map<std::string, bool> offered;
     for (const Step &step : steps)
         if (step.word.at("type") == "offer") offered[build_text(step.word)] = true;
-    for (const Part &customer : rule.scheme.customers) {
+    for (const Segment &customer : rule.scheme.customers) {
         std::vector<std::int64_t> taken;
         for (const Asked &row : asked)
             if (row.customer == customer.name) taken.push_back(row.at);
--- a/standins/checker/release.hpp
+++ b/standins/checker/release.hpp
@@ -2,7 +2,7 @@
 // broken. It knows nothing of the router's own word: only what was told, asked and sent, with times.
 #pragma once
 
-#include "settings/scheme.hpp"
+#include "settings/release.hpp"
 #include "standins/clients/clients.hpp"
 #include "standins/desk/ledger.hpp"
 #include "standins/host/host.hpp"
@@ -13,7 +13,7 @@
 namespace pineridge::standins {
 
 struct Rule {
-    Scheme scheme;
+    ReleaseSettings scheme;
     std::int64_t window = 3000; // of the exposure rule, ms
     std::int64_t grace = 300; // after which a lower cap, a pull or a freeze binds, ms
     double slack = 0.04; // over the cap, and this many picks
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -151,7 +151,7 @@
         std::rethrow_exception(failed);
     }
     print_totals(town);
-    const Rule rule{*read_wishes(town.settings_text(), "demo").release};
+    const Rule rule{*read_settings(town.settings_text(), "demo").release};
     const auto found = breaches(rule, town.desk.ledger().steps(), town.picks, town.clients.asked());
     for (const std::string &one : found) std::cout << "broken: " << one << "\n";
     int lost = 0;
--- a/standins/town/town.hpp
+++ b/standins/town/town.hpp
@@ -2,7 +2,7 @@
 // files that the router is told by. The demo starts the router as a process, tests run it on the same loop.
 #pragma once
 
-#include "settings/scheme.hpp"
+#include "settings/release.hpp"
 #include "standins/checker/release.hpp"
 #include "standins/clients/clients.hpp"
 #include "standins/desk/desk.hpp"
--- a/tests/admission/command_test.cpp
+++ b/tests/admission/command_test.cpp
@@ -50,16 +50,16 @@
     const std::pair<const char *, const char *> invalid_rules[] = {
         {"<crowd name=\"a\"><network address=\"10.0.0.0/8\"/></crowd>\n<crowd name=\"b\"><network "
          "address=\"10.0.0.0/8\"/></crowd>",
-         "s.xml:3: network.address: 10.0.0.0/8: told before, in a"},
+         "s.xml:3: network.address: 10.0.0.0/8: already listed in crowd a"},
         {"<crowd name=\"a\"><network address=\"10.0.0.0/33\"/></crowd>",
-         "s.xml:2: network.address: not a network"},
+         "s.xml:2: network.address: not an IPv4 network: 10.0.0.0/33"},
         {"<crowd name=\"a\" most=\"3\" reserve=\"4\"><network address=\"10.0.0.0/8\"/></crowd>",
          "s.xml:2: crowd.most: below reserve"},
         {"<crowd name=\"a\"><network address=\"10.0.0.0/8\"/></crowd><crowd name=\"a\"><network "
          "address=\"11.0.0.0/8\"/></crowd>",
          "crowd.name: twice: a"},
         {"<others reserve=\"-1\"/>", "reserve"},
-        {"<quotas><quota per-s=\"5\"/></quotas>", "quota.customer: neither it nor method is told"},
+        {"<quotas><quota per-s=\"5\"/></quotas>", "quota.customer: neither customer nor method is set"},
         {"<front address=\"front\"/>", "front.address: neither an address nor a network: front"},
         {"<retries share=\"2\"/>", "share"},
     };
--- a/tests/admission/counter_test.cpp
+++ b/tests/admission/counter_test.cpp
@@ -16,7 +16,7 @@
 const std::vector<std::string> kCustomers{"acme", "bern"};
 const std::vector<std::string> kMethods{"lookup", "book"};
 
-RpcLimiter make_limiter(const Entrance &rules, int routers = 1) {
+RpcLimiter make_limiter(const AdmissionSettings &rules, int routers = 1) {
     return RpcLimiter(rules, kCustomers, kMethods, routers, 3);
 }
 
@@ -33,7 +33,7 @@
 }
 
 void quota_parts_of_all_routers_add_up() {
-    Entrance rules;
+    AdmissionSettings rules;
     rules.quotas = {{"acme", "", 300, 30}};
     int admitted = 0;
     for (int router = 0; router < 3; ++router) {
@@ -46,7 +46,7 @@
 }
 
 void a_method_of_a_customer_has_its_own_quota() {
-    Entrance rules;
+    AdmissionSettings rules;
     rules.quotas = {{"acme", "", 100, 100}, {"acme", "book", 10, 10}};
     RpcLimiter limiter = make_limiter(rules);
     assert(count_admitted(limiter, {0, 1}, 100, 5) <= 60);
@@ -63,7 +63,7 @@
 }
 
 void an_unknown_customer_is_reported() {
-    Entrance rules;
+    AdmissionSettings rules;
     rules.quotas = {{"nobody", "", 1, 1}};
     std::string message;
     try {
@@ -74,10 +74,10 @@
     assert(message == "admission.quota.customer: unknown: nobody");
 }
 
-Entrance rules_with_retry_budget() {
-    Entrance rules;
+AdmissionSettings rules_with_retry_budget() {
+    AdmissionSettings rules;
     rules.retry_share = 0.1;
-    rules.retry_least = 5;
+    rules.min_retries_per_s = 5;
     return rules;
 }
 
@@ -132,8 +132,8 @@
 }
 
 void late_reads_limit_rpcs_in_flight() {
-    Entrance rules;
-    rules.late_aim = 200;
+    AdmissionSettings rules;
+    rules.max_lateness = 200;
     RpcLimiter limiter = make_limiter(rules);
     Ticks now = 0;
     const auto end_interval = [&](Ticks lateness) {
@@ -154,7 +154,7 @@
         end_interval(5000);
         limiter.try_admit({0, 0}, now);
     }
-    assert(limiter.concurrency_limit() == rules.least_under_way);
+    assert(limiter.concurrency_limit() == rules.min_in_flight);
     // Reads are timely again and RPCs in flight reach the limit: it is raised.
     while (static_cast<double>(limiter.in_flight()) > limiter.concurrency_limit())
         limiter.finished(true, now);
@@ -163,7 +163,7 @@
         while (limiter.try_admit({0, 0}, now).reason == PushbackReason::none) {
         }
     }
-    assert(limiter.concurrency_limit() > rules.least_under_way + 15);
+    assert(limiter.concurrency_limit() > rules.min_in_flight + 15);
 }
 
 void descriptors_are_budgeted_by_purpose() {
