--- a/tests/admission/door_test.cpp
+++ b/tests/admission/door_test.cpp
@@ -10,18 +10,20 @@
 
 namespace {
 
-Number parse_address(const std::string &text) { return number_of(boost::asio::ip::make_address(text)); }
+AddressBits parse_address(const std::string &text) {
+    return to_address_bits(boost::asio::ip::make_address(text));
+}
 
 // Two crowds: desks are the clients in 10.0.0.0/8, others are all the rest.
-Entrance rules_of(Crowd others, Crowd desks) {
-    Entrance rules;
+AdmissionSettings rules_of(Crowd others, Crowd desks) {
+    AdmissionSettings rules;
     rules.crowds = {std::move(others), std::move(desks)};
-    rules.networks = Networks({{read_network("10.0.0.0/8"), 1}});
+    rules.networks = NetworkTable({{read_network("10.0.0.0/8"), 1}});
     return rules;
 }
 
 struct Fixture {
-    Fixture(Entrance initial_rules, std::size_t capacity)
+    Fixture(AdmissionSettings initial_rules, std::size_t capacity)
         : rules(std::move(initial_rules)), limiter(rules, capacity, 7) {}
     // Opens a connection, and closes the one evicted for it.
     ConnectionDecision open(const std::string &from, Ticks now = 0) {
@@ -38,7 +40,7 @@
         limiter.rpc_started(connection);
         limiter.rpc_finished(connection, true, now);
     }
-    Entrance rules;
+    AdmissionSettings rules;
     ConnectionLimiter limiter;
     std::vector<std::unique_ptr<ClientConnection>> connections;
 };
@@ -131,9 +133,9 @@
 
 void each_limit_has_its_refusal_reason() {
     Crowd bounded{"others"};
-    bounded.per_address = 2;
-    bounded.per_network = 3;
-    bounded.most = 5;
+    bounded.max_per_address = 2;
+    bounded.max_per_network = 3;
+    bounded.max_connections = 5;
     Fixture fixture(rules_of(bounded, {"desks"}), 100);
     fixture.open("1.0.0.1");
     fixture.open("1.0.0.1");
@@ -151,8 +153,8 @@
 
 void the_rate_of_new_connections_is_limited() {
     Crowd rate_limited{"others"};
-    rate_limited.opens = 10;
-    rate_limited.burst = 3;
+    rate_limited.opens_per_s = 10;
+    rate_limited.open_burst = 3;
     Fixture fixture(rules_of(rate_limited, {"desks"}), 100);
     for (int i = 0; i < 3; ++i) assert(fixture.open("1.0.0.1", 0).admitted());
     const ConnectionDecision fourth = fixture.open("1.0.0.1", 0);
@@ -163,8 +165,8 @@
 }
 
 void source_state_is_bounded_and_a_flood_evicts_its_own() {
-    Entrance rules = rules_of({"others"}, {"desks"});
-    rules.addresses = 1000;
+    AdmissionSettings rules = rules_of({"others"}, {"desks"});
+    rules.max_addresses = 1000;
     Fixture fixture(rules, 50);
     fixture.open("1.2.3.4");
     ClientConnection &served = fixture.last();
@@ -172,7 +174,7 @@
     fixture.limiter.closed(served);
     ClientConnection passing;
     for (std::uint32_t i = 0; i < 1000000; ++i) {
-        const Number from = number_of(boost::asio::ip::address_v4(0x20000000 + i));
+        const AddressBits from = to_address_bits(boost::asio::ip::address_v4(0x20000000 + i));
         if (fixture.limiter.try_admit(passing, from, 100 + i).admitted()) fixture.limiter.closed(passing);
         assert(fixture.limiter.source_count() <= 1010);
     }
@@ -187,8 +189,8 @@
     for (int i = 0; i < 4; ++i) fixture.serve(fixture.last(), 0);
     assert(fixture.limiter.explain(parse_address("1.2.3.4"), 0)
                .find("trusted: its connections are closed after") != std::string::npos);
-    assert(fixture.limiter.explain(parse_address("1.2.3.4"), fixture.rules.trust_half).find("untrusted: ") !=
-           std::string::npos);
+    assert(fixture.limiter.explain(parse_address("1.2.3.4"), fixture.rules.trust_half_life)
+               .find("untrusted: ") != std::string::npos);
 }
 
 void new_rules_count_admitted_connections() {
@@ -196,9 +198,9 @@
     for (int i = 0; i < 4; ++i) fixture.open("1.0.0." + std::to_string(i));
     fixture.limiter.rpc_started(*fixture.connections[0]);
     Crowd limited{"guests"};
-    limited.most = 4;
-    Entrance next = rules_of({"others"}, limited);
-    next.networks = Networks({{read_network("1.0.0.0/24"), 1}});
+    limited.max_connections = 4;
+    AdmissionSettings next = rules_of({"others"}, limited);
+    next.networks = NetworkTable({{read_network("1.0.0.0/24"), 1}});
     fixture.limiter.set_rules(next);
     assert(fixture.limiter.open_connections(1) == 4 && fixture.limiter.open_connections(0) == 0 &&
            fixture.limiter.open_connections() == 4);
@@ -215,7 +217,7 @@
 // Otherwise clients that are refused together would all come back at the same time.
 void retry_after_times_of_refused_connections_are_spread() {
     Crowd limited{"others"};
-    limited.most = 1;
+    limited.max_connections = 1;
     Fixture fixture(rules_of(limited, {"desks"}), 10);
     fixture.open("1.0.0.1");
     Ticks least = 1000000, most = 0;
--- a/tests/admission/flood_test.cpp
+++ b/tests/admission/flood_test.cpp
@@ -116,7 +116,7 @@
     Fixture fixture("<others/>");
     auto &start = fixture.router.start;
     start.wishes_again = [path = (fixture.town.folder / "settings.xml").string()] {
-        return read_wishes_file(path);
+        return read_settings_file(path);
     };
     Flood flood(fixture.io, fixture.town.listen, {Manner::asks, 0x7f070001, 200, 10, 0, "", kDrip, kPause});
     flood.begin();
@@ -126,7 +126,7 @@
     std::raise(SIGHUP);
     fixture.until([&] { return fixture.router.has_logged("settings kept: "); });
     assert(fixture.router.has_logged(
-        "settings.xml:4: network.address: bits set behind the prefix: 127.0.0.1/8"));
+        "settings.xml:4: network.address: host bits set behind the prefix: 127.0.0.1/8"));
     fixture.write_settings("<others most=\"60\"/>\n<crowd name=\"desks\" reserve=\"500\"><network "
                            "address=\"127.0.0.1\"/></crowd>");
     std::raise(SIGHUP);
@@ -240,7 +240,7 @@
     Fixture fixture("<others per-address=\"2\"/>");
     fixture.write_settings("<others per-address=\"2\"/>", " mode=\"observe\"");
     fixture.router.start.wishes_again = [path = (fixture.town.folder / "settings.xml").string()] {
-        return read_wishes_file(path);
+        return read_settings_file(path);
     };
     std::raise(SIGHUP);
     fixture.until([&] { return fixture.router.has_logged("settings read again"); });
--- a/tests/admission/property_test.cpp
+++ b/tests/admission/property_test.cpp
@@ -29,27 +29,28 @@
 }
 
 // Three crowds: 10.0.0.0/8, 11.0.0.0/8 and the others.
-Entrance random_rules() {
-    Entrance rules;
+AdmissionSettings random_rules() {
+    AdmissionSettings rules;
     rules.crowds.clear();
     for (const char *name : {"others", "desks", "kiosks"}) {
         Crowd crowd{name};
         crowd.weight = *rc::gen::inRange(1, 5);
-        crowd.reserve = *rc::gen::inRange(0, 4);
-        crowd.most = *rc::gen::element(0, 5, 12);
-        crowd.per_address = *rc::gen::element(0, 2, 4);
-        crowd.per_network = *rc::gen::element(0, 3, 6);
-        if (crowd.most > 0) crowd.most = std::max(crowd.most, crowd.reserve);
+        crowd.reserved_connections = *rc::gen::inRange(0, 4);
+        crowd.max_connections = *rc::gen::element(0, 5, 12);
+        crowd.max_per_address = *rc::gen::element(0, 2, 4);
+        crowd.max_per_network = *rc::gen::element(0, 3, 6);
+        if (crowd.max_connections > 0)
+            crowd.max_connections = std::max(crowd.max_connections, crowd.reserved_connections);
         rules.crowds.push_back(crowd);
     }
-    rules.networks = Networks({{read_network("10.0.0.0/8"), 1}, {read_network("11.0.0.0/8"), 2}});
-    rules.addresses = 64;
+    rules.networks = NetworkTable({{read_network("10.0.0.0/8"), 1}, {read_network("11.0.0.0/8"), 2}});
+    rules.max_addresses = 64;
     return rules;
 }
 
-Number address_of_source(int source) {
+AddressBits address_of_source(int source) {
     const std::uint32_t bases[] = {0x01000000, 0x0a000000, 0x0b000000};
-    return number_of(
+    return to_address_bits(
         boost::asio::ip::address_v4(bases[source % 3] + static_cast<std::uint32_t>(source / 3) * 100));
 }
 
@@ -59,7 +60,7 @@
 
 void run(const std::vector<Step> &steps) {
     constexpr std::size_t kCapacity = 12;
-    std::vector<Entrance> rules{random_rules(), random_rules()};
+    std::vector<AdmissionSettings> rules{random_rules(), random_rules()};
     std::size_t current_rules = 0;
     ConnectionLimiter limiter(rules[0], kCapacity, 1);
     std::vector<std::unique_ptr<ClientConnection>> connections;
@@ -75,7 +76,7 @@
         const std::size_t selected =
             connections.empty() ? 0 : static_cast<std::size_t>(step.connection) % connections.size();
         if (step.kind < 6) {
-            const Entrance &active = rules[current_rules];
+            const AdmissionSettings &active = rules[current_rules];
             auto connection = std::make_unique<ClientConnection>();
             const int crowd = std::max(0, active.networks.group_of(address_of_source(step.source)));
             const int crowd_before = limiter.open_connections(crowd);
@@ -90,7 +91,7 @@
             }
             if (decision.admitted()) {
                 const Crowd &rule = active.crowds[static_cast<std::size_t>(crowd)];
-                require(rule.most == 0 || crowd_before < rule.most,
+                require(rule.max_connections == 0 || crowd_before < rule.max_connections,
                         "a connection over the crowd limit was admitted");
                 connections.push_back(std::move(connection));
                 open_rpcs.push_back(0);
@@ -99,7 +100,8 @@
                         "the retry-after time is out of bounds");
                 // While connections are free, a crowd below its reserve is not refused for lack of capacity.
                 if (decision.reason == RefusalReason::no_capacity && total_before < kCapacity)
-                    require(crowd_before >= active.crowds[static_cast<std::size_t>(crowd)].reserve,
+                    require(crowd_before >=
+                                active.crowds[static_cast<std::size_t>(crowd)].reserved_connections,
                             "a connection within the reserve was refused");
             }
         } else if (connections.empty()) {
--- a/tests/client_close_test.cpp
+++ b/tests/client_close_test.cpp
@@ -22,7 +22,7 @@
 // Takes RPCs in place of the driver, and answers each with its id.
 struct ScriptedHandler final : clients::RequestHandler {
     void handle_rpc(clients::ReplyTarget target, std::shared_ptr<const clients::OwnedRequest> rpc,
-                    Span) override {
+                    Milliseconds) override {
         const std::string id(rpc->request.id);
         received_ids.push_back(id);
         if (on_rpc) on_rpc(id);
@@ -47,8 +47,9 @@
 
 admission::DescriptorBudget descriptor_budget_for(const Limits &limits) {
     std::array<admission::DescriptorBudget::Allotment, admission::kPurposeCount> parts{};
-    parts[static_cast<std::size_t>(admission::Purpose::clients)] = {limits.clients, limits.clients};
-    return {limits.clients, parts};
+    parts[static_cast<std::size_t>(admission::Purpose::clients)] = {limits.client_connections,
+                                                                    limits.client_connections};
+    return {limits.client_connections, parts};
 }
 
 // The client side of a router, with the handler of the test in place of the driver.
@@ -138,7 +139,8 @@
 // the attempt to accept another finds no descriptor and closes idle connections at once.
 void a_client_accepted_without_free_descriptors_is_answered() {
     ClientSide client_side;
-    client_side.start.limits.leave_least = client_side.start.limits.leave_quiet = Span(0);
+    client_side.start.limits.min_shutdown_time = client_side.start.limits.shutdown_quiet_time =
+        Milliseconds(0);
     client_side.listen();
     tcp::socket queued = client_side.connect();
     asio::write(queued, asio::buffer(ask("id-one")));
@@ -161,8 +163,8 @@
 // this.
 void a_command_completed_before_the_stall_check_is_answered() {
     ClientSide client_side;
-    client_side.start.limits.sweep = Span(200);
-    client_side.start.limits.half_command = Span(50);
+    client_side.start.limits.sweep_interval = Milliseconds(200);
+    client_side.start.limits.command_timeout = Milliseconds(50);
     client_side.listen();
     tcp::socket client = client_side.connect();
     const std::string command = ask("id-one");
@@ -181,8 +183,8 @@
 // the others is passed to the handler, where it would have an effect whose result nobody receives.
 void commands_of_a_closed_connection_are_dropped() {
     ClientSide client_side;
-    client_side.start.limits.pipelined = 1;
-    client_side.start.limits.unread_look = Span(100);
+    client_side.start.limits.max_pipelined = 1;
+    client_side.start.limits.unread_check_interval = Milliseconds(100);
     client_side.handler.answers_at_once = false;
     client_side.listen();
     tcp::socket client = client_side.connect();
@@ -199,9 +201,9 @@
     assert(!client_side.handler.has_received("id-two"));
 }
 
-std::shared_ptr<const Entrance> one_connection_per_address() {
-    auto rules = std::make_shared<Entrance>();
-    rules->crowds.front().per_address = 1;
+std::shared_ptr<const AdmissionSettings> one_connection_per_address() {
+    auto rules = std::make_shared<AdmissionSettings>();
+    rules->crowds.front().max_per_address = 1;
     return rules;
 }
 
--- a/tests/membership/lease_test.cpp
+++ b/tests/membership/lease_test.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-constexpr LeaseRules kRules{.told_after = Span(6000),
-                            .watch_overrun = Span(2000),
-                            .moved_told = Span(4000),
-                            .partial_told = Span(150),
-                            .transit = Span(250),
-                            .stands_after = Span(5000),
-                            .line_full = Span(100),
-                            .line_least = Span(1500),
-                            .outage_lasts = Span(5000),
-                            .outage_goes_on = Span(4000)};
-
-Instant at(int ms) { return Instant(Span(100000 + ms)); }
+constexpr LeaseRules kRules{.told_after = Milliseconds(6000),
+                            .watch_overrun = Milliseconds(2000),
+                            .moved_told = Milliseconds(4000),
+                            .partial_told = Milliseconds(150),
+                            .transit = Milliseconds(250),
+                            .stands_after = Milliseconds(5000),
+                            .line_full = Milliseconds(100),
+                            .line_least = Milliseconds(1500),
+                            .outage_lasts = Milliseconds(5000),
+                            .outage_goes_on = Milliseconds(4000)};
+
+Instant at(int ms) { return Instant(Milliseconds(100000 + ms)); }
 
 // A lease whose list was complete at 0, with no call under way.
 Lease answered_at_0() {
@@ -58,7 +58,7 @@
 // A watch waiting in a line is no lease; one that has not ended for long stands up to its wait's end.
 void a_watch_counts_once_it_stands() {
     Lease lease = answered_at_0();
-    lease.asked(at(100), Span(20000));
+    lease.asked(at(100), Milliseconds(20000));
     lease.still_open(at(4000));
     assert(lease.expires() == at(6000));
     lease.still_open(at(5100));
@@ -71,7 +71,7 @@
 
 void a_silent_watch_holds_until_what_it_missed_counts() {
     Lease lease = answered_at_0();
-    lease.asked(at(100), Span(10000));
+    lease.asked(at(100), Milliseconds(10000));
     lease.still_open(at(5100));
     lease.failed(CallFailure::silent, at(10600));
     assert(lease.expires() == at(12100) && lease.outage_until() == Instant::min());
@@ -86,12 +86,12 @@
 // A connection that breaks may have been silent before, for no longer than a silent watch's bound.
 void a_watch_that_breaks_was_complete_up_to_a_bound() {
     Lease lease = answered_at_0();
-    lease.asked(at(100), Span(10000));
+    lease.asked(at(100), Milliseconds(10000));
     lease.still_open(at(5100));
     lease.failed(CallFailure::broken, at(9000));
     assert(lease.expires() == at(12100));
     Lease other = answered_at_0();
-    other.asked(at(100), Span(10000));
+    other.asked(at(100), Milliseconds(10000));
     other.failed(CallFailure::refused, at(9000));
     assert(other.expires() == at(9000 - 250 + 6000));
 }
@@ -99,7 +99,7 @@
 // Discovery ended the watch, and each call since has failed: an outage is presumed, from call to call.
 void an_outage_is_presumed_after_a_watch_was_ended() {
     Lease lease = answered_at_0();
-    lease.asked(at(100), Span(20000));
+    lease.asked(at(100), Milliseconds(20000));
     lease.failed(CallFailure::refused, at(700));
     assert(lease.expires() == at(6000) && lease.outage_until() == at(5700));
     lease.asked(at(4000), std::nullopt);
@@ -116,7 +116,7 @@
 // A watch that was turned away after a wait in the line, as the next call is, was never ended by an outage.
 void a_crowded_line_is_no_outage() {
     Lease lease = answered_at_0();
-    lease.asked(at(100), Span(20000));
+    lease.asked(at(100), Milliseconds(20000));
     lease.failed(CallFailure::refused, at(2100));
     lease.asked(at(3000), std::nullopt);
     lease.failed(CallFailure::refused, at(5000));
@@ -126,10 +126,10 @@
 // Nor is one that turns calls away at once: it takes no more, which one that is down could not tell.
 void a_full_line_ends_an_outages_presumption() {
     Lease lease = answered_at_0();
-    lease.asked(at(100), Span(20000));
+    lease.asked(at(100), Milliseconds(20000));
     lease.failed(CallFailure::refused, at(102));
     assert(lease.outage_until() == Instant::min());
-    lease.asked(at(200), Span(20000));
+    lease.asked(at(200), Milliseconds(20000));
     lease.failed(CallFailure::refused, at(700));
     assert(lease.outage_until() == at(5700));
     lease.asked(at(1000), std::nullopt);
@@ -140,7 +140,7 @@
 // It was open for longer than the line lets calls wait: it stood, and told all up to its end.
 void a_watch_open_for_longer_than_the_line_had_stood() {
     Lease lease = answered_at_0();
-    lease.asked(at(100), Span(20000));
+    lease.asked(at(100), Milliseconds(20000));
     lease.failed(CallFailure::refused, at(3100));
     assert(lease.outage_until() == Instant::min());
     lease.asked(at(4000), std::nullopt);
@@ -151,7 +151,7 @@
 // What an answer that breaks off held counts, and ends an outage's presumption.
 void an_unreadable_answer_revokes_the_lease() {
     Lease lease = answered_at_0();
-    lease.asked(at(100), Span(20000));
+    lease.asked(at(100), Milliseconds(20000));
     lease.failed(CallFailure::refused, at(700));
     lease.asked(at(1000), std::nullopt);
     lease.answer_begun(at(1100));
@@ -186,7 +186,7 @@
     lease.asked(at(10), std::nullopt);
     lease.failed(CallFailure::refused, at(20));
     assert(lease.expires() == Instant::max());
-    lease.asked(at(100), Span(10000));
+    lease.asked(at(100), Milliseconds(10000));
     lease.failed(CallFailure::silent, at(10600));
     assert(lease.expires() == at(12100));
 }
--- a/tests/membership/list_value.hpp
+++ b/tests/membership/list_value.hpp
@@ -8,12 +8,12 @@
 
 inline Member read_value(const std::string &key, std::string_view value) {
     const json from = json::parse(value, nullptr, false);
-    if (!from.is_object()) wrong("value", "not an object");
+    if (!from.is_object()) throw_field_error("value", "not an object");
     Member member{};
     member.entry.id = key.substr(key.rfind('/') + 1);
-    member.entry.status = word<HostStatus>(
+    member.entry.status = read_enum<HostStatus>(
         from, "state", {{"in_service", HostStatus::ready}, {"terminating", HostStatus::draining}});
-    member.entry.started = whole(from, "started_ms");
+    member.entry.started = read_int(from, "started_ms");
     return member;
 }
 
--- a/tests/owed_test.cpp
+++ b/tests/owed_test.cpp
@@ -216,10 +216,10 @@
     town.told["settings"]["instances"] = 300;
     town.write(town.told.dump());
     town.start = read_start_file(town.path, town.environment);
-    town.start.limits.list_hold = Span(200);
-    town.start.limits.list_grace = Span(100);
-    town.start.limits.list_told = Span(600);
-    town.start.limits.list_lease = Span(600);
+    town.start.limits.list_poll_wait = Milliseconds(200);
+    town.start.limits.list_poll_grace = Milliseconds(100);
+    town.start.limits.list_watch_overrun = Milliseconds(600);
+    town.start.limits.list_lease = Milliseconds(600);
     town.keep_watches_silent();
     town.host.answer = host_answer;
     town.service.emplace(town.io, town.path, town.environment, town.start, town.log, [] {});
@@ -246,7 +246,7 @@
 void the_list_is_overdue_when_a_new_discovery_address_does_not_answer() {
     Town town;
     town.start = read_start_file(town.path, town.environment);
-    town.start.limits.list_moved_told = Span(300);
+    town.start.limits.list_move_delay = Milliseconds(300);
     town.host.answer = host_answer;
     town.service.emplace(town.io, town.path, town.environment, town.start, town.log, [] {});
     town.until([&] { return town.list.was_sent("from=7"); });
@@ -273,7 +273,7 @@
     };
     town.serve();
     town.until([&] { return calls == 6; });
-    assert(std::chrono::steady_clock::now() - first_call >= 5 * town.start.limits.list_again / 2);
+    assert(std::chrono::steady_clock::now() - first_call >= 5 * town.start.limits.list_retry_pause / 2);
 }
 
 // --- shutdown ---
@@ -365,7 +365,7 @@
     town.serve();
     tcp::socket client = client_of(town);
     std::string commands;
-    for (std::size_t i = 0; i < town.start.limits.pipelined; ++i)
+    for (std::size_t i = 0; i < town.start.limits.max_pipelined; ++i)
         commands += ask("id-f" + std::to_string(i / 10) + std::to_string(i % 10), "60000");
     asio::write(client, asio::buffer(commands));
     town.until([&] { return host.pending_connects() > 0; });
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -15,7 +15,7 @@
 
 Limits limits() {
     Limits limits{};
-    limits.pipelined = 3;
+    limits.max_pipelined = 3;
     return limits;
 }
 const Limits kLimits = limits();
@@ -166,13 +166,13 @@
     hosts::Trust trust(kLimits);
     for (int i = 0; i < 40; ++i) {
         trust.note_new(i % 10 == 0);
-        trust.note_kept(Span(5), i % 10 == 0);
-        trust.note_kept(Span(120), i % 2 == 0);
+        trust.note_kept(Milliseconds(5), i % 10 == 0);
+        trust.note_kept(Milliseconds(120), i % 2 == 0);
     }
-    assert(trust.holds(Span(5)) && trust.holds(Span(60)) && !trust.holds(Span(120)) &&
-           !trust.holds(Span(900)));
+    assert(trust.holds(Milliseconds(5)) && trust.holds(Milliseconds(60)) && !trust.holds(Milliseconds(120)) &&
+           !trust.holds(Milliseconds(900)));
     for (int i = 0; i < 20; ++i) trust.fade();
-    assert(trust.holds(Span(900)));
+    assert(trust.holds(Milliseconds(900)));
 }
 
 } // namespace
--- a/tests/rehearsal/loopback_test.cpp
+++ b/tests/rehearsal/loopback_test.cpp
@@ -41,7 +41,7 @@
         Town town;
         town.host.answer = host_answer;
         town.start = read_start_file(town.path, town.environment);
-        town.start.limits.rehearsal_sweeps = 1;
+        town.start.limits.sweeps_per_rehearsal_report = 1;
         if (rehearsing) {
             // The other shape has no capacity for a pick: it would push back every RPC.
             town.start.rehearsed = town.start.terms;
--- a/tests/release/helpers.hpp
+++ b/tests/release/helpers.hpp
@@ -5,29 +5,29 @@
 
 namespace pineridge::release::test {
 
-inline Scheme scheme(int zones = 2, int customers = 2) {
-    Scheme result;
+inline ReleaseSettings scheme(int zones = 2, int customers = 2) {
+    ReleaseSettings result;
     result.service = "booking";
     for (int i = 0; i < zones; ++i) result.zones.push_back({"z" + std::to_string(i)});
     for (int i = 0; i < customers; ++i) result.customers.push_back({"c" + std::to_string(i)});
     result.zone = "z0";
     result.stages = {0, 0.05, 0.25, 1};
-    result.follow = 3;
-    result.evidence = 5;
+    result.wave_gate_stage = 3;
+    result.min_picks = 5;
     result.silent_after = 600000;
-    result.settle = 50000;
-    result.hold = 20000;
-    result.step = 10000;
-    result.renew = 40000;
+    result.freeze_settle_time = 50000;
+    result.rollback_delay = 20000;
+    result.rollback_step = 10000;
+    result.opinion_interval = 40000;
     return result;
 }
 
 // A build of the router's own service, and one of another service that it may depend on.
 inline const BuildName kBuild{"booking", 7}, kRequiredBuild{"donor", 3};
 
-inline Need dependency(const BuildName &on, int stage, bool strict = false) {
-    Need result;
-    result.on = on;
+inline Dependency dependency(const BuildName &on, int stage, bool strict = false) {
+    Dependency result;
+    result.required = on;
     result.stage = stage;
     result.strict = strict;
     return result;
@@ -35,7 +35,7 @@
 
 // A plan that is connected to its desk and has applied an empty snapshot.
 struct PlanFixture {
-    explicit PlanFixture(Scheme given = scheme()) : plan(std::move(given)) {
+    explicit PlanFixture(ReleaseSettings given = scheme()) : plan(std::move(given)) {
         plan.set_time(now);
         plan.apply_snapshot({rev, {}});
         plan.set_desk_connected(true);
@@ -52,10 +52,10 @@
         update.rev = ++rev;
         return update;
     }
-    Update offer_update(const BuildName &build, std::vector<Need> dependencies = {}) {
+    Update offer_update(const BuildName &build, std::vector<Dependency> dependencies = {}) {
         Update update = next_update(Update::Kind::offer);
         update.build = build;
-        for (Need &dependency : dependencies) dependency.of = build;
+        for (Dependency &dependency : dependencies) dependency.dependent = build;
         update.dependencies = std::move(dependencies);
         return update;
     }
@@ -75,14 +75,15 @@
     }
 
     // Each of these applies the desk's next update to the plan.
-    void offer(const BuildName &build, std::vector<Need> dependencies = {}) {
+    void offer(const BuildName &build, std::vector<Dependency> dependencies = {}) {
         plan.apply_update(offer_update(build, std::move(dependencies)));
     }
     void stage(const BuildName &build, int cell, int stage) {
         plan.apply_update(stage_update(build, cell, stage));
     }
     void stage_all(const BuildName &build, int to) {
-        for (int cell = 0; cell < static_cast<int>(plan.scheme().cells()); ++cell) stage(build, cell, to);
+        for (int cell = 0; cell < static_cast<int>(plan.scheme().cell_count()); ++cell)
+            stage(build, cell, to);
     }
     void pull(const BuildName &build) {
         Update update = next_update(Update::Kind::pull);
@@ -114,7 +115,7 @@
     // The build's stage in each cell.
     std::vector<int> stages(const BuildName &build) const {
         std::vector<int> result;
-        for (int cell = 0; cell < static_cast<int>(plan.scheme().cells()); ++cell)
+        for (int cell = 0; cell < static_cast<int>(plan.scheme().cell_count()); ++cell)
             result.push_back(plan.stage(build, cell));
         return result;
     }
--- a/tests/release/loopback_test.cpp
+++ b/tests/release/loopback_test.cpp
@@ -69,7 +69,7 @@
         return count;
     }
     void check_rules() {
-        const Rule rule{*read_wishes(town.settings_text(), "town").release};
+        const Rule rule{*read_settings(town.settings_text(), "town").release};
         const auto violations = breaches(rule, town.desk.ledger().steps(), town.picks, town.clients.asked());
         for (const std::string &violation : violations) std::cerr << violation << "\n";
         assert(violations.empty());
--- a/tests/release/plan_test.cpp
+++ b/tests/release/plan_test.cpp
@@ -15,7 +15,7 @@
 // --- caps ---
 
 void share_is_the_minimum_of_stage_and_caps() {
-    Scheme given = scheme();
+    ReleaseSettings given = scheme();
     given.zones[0].cap = 0.5;
     given.customers[1].cap = 0.1;
     given.cap = 0.6;
@@ -32,7 +32,7 @@
 }
 
 void caps_do_not_apply_once_released_in_all_cells() {
-    Scheme given = scheme();
+    ReleaseSettings given = scheme();
     given.cap = 0.4;
     PlanFixture fixture(given);
     fixture.offer(kBuild);
@@ -120,7 +120,7 @@
 }
 
 void configured_freezes_follow_the_clock_and_cannot_be_lifted() {
-    Scheme given = scheme();
+    ReleaseSettings given = scheme();
     given.freezes = {{"w", "", "", "", 1100000, 1200000}};
     PlanFixture fixture(given);
     fixture.offer(kBuild);
@@ -137,8 +137,8 @@
 }
 
 void everything_is_frozen_beyond_the_freeze_limit() {
-    Scheme given = scheme();
-    given.most_freezes = 2;
+    ReleaseSettings given = scheme();
+    given.max_freezes = 2;
     PlanFixture fixture(given);
     fixture.offer(kBuild);
     for (const char *id : {"a", "b", "c"}) fixture.freeze(id, "z1");
@@ -173,7 +173,7 @@
 void a_match_dependency_limits_the_build_to_the_required_builds_stage() {
     PlanFixture fixture;
     fixture.offer(kRequiredBuild);
-    fixture.offer(kBuild, {dependency(kRequiredBuild, Need::kMatch)});
+    fixture.offer(kBuild, {dependency(kRequiredBuild, Dependency::kMatch)});
     fixture.stage(kRequiredBuild, 0, 2);
     fixture.stage(kBuild, 0, 2);
     assert(fixture.plan.stage(kBuild, 0) == 2);
@@ -333,7 +333,7 @@
 }
 
 void no_cell_advances_while_the_desk_is_disconnected() {
-    Scheme given = scheme();
+    ReleaseSettings given = scheme();
     given.freezes = {{"w", "", "", "", 1000000, 1010000}};
     PlanFixture fixture(given);
     fixture.offer(kBuild);
@@ -358,7 +358,7 @@
 
 // After a restart during a freeze each cell has the stage that it had when the freeze began.
 void a_restart_does_not_advance_a_build_past_a_freeze() {
-    Scheme given = scheme();
+    ReleaseSettings given = scheme();
     given.freezes = {{"w", "z1", "", "", 900000, 1500000}};
     Plan plan(given);
     plan.set_time(1000000);
@@ -401,8 +401,8 @@
 }
 
 void the_number_of_builds_is_bounded() {
-    Scheme given = scheme();
-    given.most_builds = 3;
+    ReleaseSettings given = scheme();
+    given.max_builds = 3;
     PlanFixture fixture(given);
     for (int i = 1; i <= 3; ++i) fixture.offer({"booking", i});
     fixture.offer({"booking", 4});
@@ -498,10 +498,10 @@
 }
 
 void a_wave_waits_for_the_preceding_one() {
-    Scheme given = scheme();
-    given.order = Order::customers;
-    given.follow = 2;
-    given.evidence = 0;
+    ReleaseSettings given = scheme();
+    given.order = WaveOrder::customers;
+    given.wave_gate_stage = 2;
+    given.min_picks = 0;
     PlanFixture fixture(given);
     fixture.offer(kBuild);
     fixture.plan.set_verdict(7, Verdict::advance);
@@ -516,8 +516,8 @@
 // A customer without RPCs does not block the other customers, and its own cell does not advance without
 // evidence once its RPCs resume.
 void a_silent_cell_does_not_block_later_waves() {
-    Scheme given = scheme(1, 2);
-    given.order = Order::customers;
+    ReleaseSettings given = scheme(1, 2);
+    given.order = WaveOrder::customers;
     PlanFixture fixture(given);
     fixture.offer(kBuild);
     fixture.plan.set_verdict(7, Verdict::advance);
@@ -532,8 +532,8 @@
 }
 
 void canaries_go_first() {
-    Scheme given = scheme();
-    given.order = Order::canary;
+    ReleaseSettings given = scheme();
+    given.order = WaveOrder::canary;
     given.canaries = {1};
     PlanFixture fixture(given);
     fixture.offer(kBuild);
@@ -542,8 +542,8 @@
 }
 
 void balanced_order_starts_with_the_lowest_withdrawn_share() {
-    Scheme given = scheme(1, 3);
-    given.order = Order::balanced;
+    ReleaseSettings given = scheme(1, 3);
+    given.order = WaveOrder::balanced;
     PlanFixture fixture(given);
     const auto add_traffic = [&](const std::string &customer, double traffic, double withdrawn) {
         Update update = fixture.next_update(Update::Kind::ledger);
@@ -563,9 +563,9 @@
 // With 200 zones and 500 customers, share changes and opinions concern the router's own zone only, and an RPC
 // adds to the state of its own cell only.
 void state_and_outputs_stay_bounded_with_100000_cells() {
-    Scheme given = scheme(200, 500);
-    given.order = Order::customers;
-    given.evidence = 0;
+    ReleaseSettings given = scheme(200, 500);
+    given.order = WaveOrder::customers;
+    given.min_picks = 0;
     PlanFixture fixture(given);
     for (int build = 1; build <= 21; ++build) fixture.offer({"booking", build});
     assert(fixture.plan.builds().size() == 20);
--- a/tests/release/property_test.cpp
+++ b/tests/release/property_test.cpp
@@ -37,13 +37,13 @@
         });
 }
 
-Scheme small_scheme() {
-    Scheme given = scheme(2, 2);
+ReleaseSettings small_scheme() {
+    ReleaseSettings given = scheme(2, 2);
     given.zones[0].cap = 0.5;
     given.customers[1].cap = 0.2;
-    given.most_builds = kBuilds;
+    given.max_builds = kBuilds;
     given.silent_after = 30000;
-    given.needs = {{{"booking", 2}, {"donor", 1}, 2, false}};
+    given.dependencies = {{{"booking", 2}, {"donor", 1}, 2, false}};
     given.freezes = {{"window", "z1", "", "", 1200000, 1300000}};
     return given;
 }
@@ -79,8 +79,8 @@
     return update;
 }
 
-std::vector<Need> dependencies_of(int build, bool strict) {
-    if (build == 3) return {{kBuildNames[3], kBuildNames[1], Need::kMatch, strict}};
+std::vector<Dependency> dependencies_of(int build, bool strict) {
+    if (build == 3) return {{kBuildNames[3], kBuildNames[1], Dependency::kMatch, strict}};
     return {};
 }
 
@@ -197,8 +197,8 @@
 
 void check_invariants(const Plan &plan, const PlanView &before, const PlanView &after, const Shares &shares,
                       bool out_of_sync, bool check_desk_stage) {
-    const Scheme &given = plan.scheme();
-    check(plan.builds().size() <= given.most_builds, "state is bounded");
+    const ReleaseSettings &given = plan.scheme();
+    check(plan.builds().size() <= given.max_builds, "state is bounded");
     for (int build = 0; build < kBuilds; ++build) {
         const BuildName &name = kBuildNames[build];
         bool released_everywhere = true;
--- a/tests/release/wire_test.cpp
+++ b/tests/release/wire_test.cpp
@@ -30,8 +30,8 @@
     assert(offer.rev == 5 && offer.prev == 4 && offer.build.text() == "booking/7" &&
            offer.dependencies.size() == 2);
     assert(offer.dependencies[0].stage == 3 && !offer.dependencies[0].strict);
-    assert(offer.dependencies[1].stage == Need::kMatch && offer.dependencies[1].strict &&
-           offer.dependencies[1].of == offer.build);
+    assert(offer.dependencies[1].stage == Dependency::kMatch && offer.dependencies[1].strict &&
+           offer.dependencies[1].dependent == offer.build);
     const Update stage =
         *read_line(R"({"rev":6,"prev":5,"type":"stage","service":"booking","build":7,"zone":"a",
         "customer":"b","stage":2})",
@@ -98,7 +98,7 @@
 }
 
 void opinions_are_written() {
-    Scheme scheme;
+    ReleaseSettings scheme;
     scheme.zones = {{"a"}, {"b"}};
     scheme.customers = {{"x"}, {"y"}};
     const json opinion =
--- a/tests/running_router.hpp
+++ b/tests/running_router.hpp
@@ -15,7 +15,7 @@
         const std::string config = (folder / "config.json").string();
         const router::Environment environment = [](const char *) { return nullptr; };
         start = router::read_start_file(config, environment);
-        router::take_wishes(start, read_wishes_file((folder / "settings.xml").string()));
+        router::take_wishes(start, read_settings_file((folder / "settings.xml").string()));
         log.emplace(log_text, "n1", Level::info);
         service = std::make_unique<router::Service>(io, config, environment, start, *log, [] {});
     }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// Our own settings: what is read, and that faults name file, line and key.
+// The settings file: the values that are read, and errors that name file, line and key.
 #undef NDEBUG
 #include "settings/read.hpp"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-const std::string kGood = R"(<pineridge xmlns="urn:pineridge:settings:1">
+const std::string kValidSettings = R"(<pineridge xmlns="urn:pineridge:settings:1">
 <release service="booking" zone="a" cap="0.9">
 <zones><zone name="a" cap="0.5"/><zone name="b"/></zones>
 <customers><customer name="x" share="2"/></customers>
@@ -19,101 +19,111 @@
 </release>
 </pineridge>)";
 
-std::string fault(const std::string &from, const std::string &to) {
-    std::string text = kGood;
+// The error for the valid settings with one text replaced by another.
+std::string error_after_replacing(const std::string &from, const std::string &to) {
+    std::string text = kValidSettings;
     const std::size_t at = text.find(from);
     assert(at != std::string::npos);
     text.replace(at, from.size(), to);
     try {
-        read_wishes(text, "f.xml");
+        read_settings(text, "f.xml");
     } catch (const BadInput &bad) {
         return bad.what();
     }
     return "";
 }
 
-void all_is_read() {
-    const Scheme scheme = *read_wishes(kGood, "f.xml").release;
-    assert(scheme.cells() == 2 && scheme.cap == 0.9 && scheme.zones[0].cap == 0.5 &&
-           scheme.zones[1].cap == 1);
-    assert((scheme.stages == std::vector<double>{0, 0.1, 1}) && scheme.follow == 1 &&
-           scheme.customers[0].share == 2);
-    assert(scheme.order == Order::canary && scheme.canaries == std::vector<int>{1});
-    assert(scheme.freezes[0].from == 17981316000000 &&
-           scheme.freezes[0].to - scheme.freezes[0].from == 18000000);
-    assert(scheme.settle == 15000 && scheme.hold == 30000 && scheme.step == 10000 && scheme.evidence == 20);
-    assert(scheme.needs[0].stage == Need::kMatch && scheme.needs[0].on.text() == "donor/1");
-    assert(!read_wishes(R"(<pineridge xmlns="urn:pineridge:settings:1"/>)", "f.xml").release);
+void release_settings_are_read() {
+    const ReleaseSettings release = *read_settings(kValidSettings, "f.xml").release;
+    assert(release.cell_count() == 2 && release.cap == 0.9 && release.zones[0].cap == 0.5 &&
+           release.zones[1].cap == 1);
+    assert((release.stages == std::vector<double>{0, 0.1, 1}) && release.wave_gate_stage == 1 &&
+           release.customers[0].share == 2);
+    assert(release.order == WaveOrder::canary && release.canaries == std::vector<int>{1});
+    assert(release.freezes[0].from == 17981316000000 &&
+           release.freezes[0].to - release.freezes[0].from == 18000000);
+    assert(release.freeze_settle_time == 15000 && release.rollback_delay == 30000 &&
+           release.rollback_step == 10000 && release.min_picks == 20);
+    assert(release.dependencies[0].stage == Dependency::kMatch &&
+           release.dependencies[0].required.text() == "donor/1");
+    assert(!read_settings(R"(<pineridge xmlns="urn:pineridge:settings:1"/>)", "f.xml").release);
 }
 
-void faults_name_file_line_and_key() {
-    const auto says = [](const std::string &text, const std::string &place, const std::string &part) {
-        return text.rfind(place, 0) == 0 && text.find(part) != std::string::npos;
+void errors_name_file_line_and_key() {
+    const auto names = [](const std::string &text, const std::string &position, const std::string &part) {
+        return text.rfind(position, 0) == 0 && text.find(part) != std::string::npos;
     };
-    assert(says(fault("<release service", "<release servce"), "f.xml:2: ", "'servce'"));
-    assert(says(fault("cap=\"0.5\"", "cap=\"1.5\""), "f.xml:3: ", "'cap'"));
-    assert(says(fault("<zone name=\"b\"/>", "<zone name=\"a\"/>"), "f.xml:3: ", "zone.name: twice: a"));
-    assert(says(fault("share=\"0.1\"", "shares=\"0.1\""), "f.xml:5: ", "'shares'"));
-    assert(says(fault("<stage share=\"1\"/>", "<stage share=\"0.1\"/>"), "f.xml:5: ", "stage.share"));
-    assert(says(fault("zone=\"b\" customer", "zone=\"c\" customer"), "f.xml:6: ", "canary.zone: unknown: c"));
-    assert(says(fault("follow=\"1\"", "follow=\"3\""), "f.xml:6: ", "order.follow"));
-    assert(says(fault("+01:00", ""), "f.xml:7: ", "no time zone offset"));
-    assert(says(fault("17:30:00Z", "16:30:00Z"), "f.xml:7: ", "freeze.to: not after from"));
-    assert(says(fault("on-service=\"donor\" on-build=\"1\"", "on-service=\"booking\" on-build=\"2\""),
-                "f.xml:8: ", "needs itself: booking/2 -> booking/2"));
-    assert(says(fault("zone=\"a\" cap=\"0.9\"", "zone=\"q\" cap=\"0.9\""),
-                "f.xml:2: ", "release.zone: unknown: q"));
-    assert(says(fault("</pineridge>", ""), "f.xml:", ""));
+    assert(names(error_after_replacing("<release service", "<release servce"), "f.xml:2: ", "'servce'"));
+    assert(names(error_after_replacing("cap=\"0.5\"", "cap=\"1.5\""), "f.xml:3: ", "'cap'"));
+    assert(names(error_after_replacing("<zone name=\"b\"/>", "<zone name=\"a\"/>"),
+                 "f.xml:3: ", "zone.name: twice: a"));
+    assert(names(error_after_replacing("share=\"0.1\"", "shares=\"0.1\""), "f.xml:5: ", "'shares'"));
+    assert(names(error_after_replacing("<stage share=\"1\"/>", "<stage share=\"0.1\"/>"),
+                 "f.xml:5: ", "stage.share"));
+    assert(names(error_after_replacing("zone=\"b\" customer", "zone=\"c\" customer"),
+                 "f.xml:6: ", "canary.zone: unknown: c"));
+    assert(names(error_after_replacing("follow=\"1\"", "follow=\"3\""), "f.xml:6: ", "order.follow"));
+    assert(names(error_after_replacing("+01:00", ""), "f.xml:7: ", "no time zone offset"));
+    assert(names(error_after_replacing("17:30:00Z", "16:30:00Z"), "f.xml:7: ", "freeze.to: not after from"));
+    assert(names(
+        error_after_replacing("on-service=\"donor\" on-build=\"1\"", "on-service=\"booking\" on-build=\"2\""),
+        "f.xml:8: ", "needs itself: booking/2 -> booking/2"));
+    assert(names(error_after_replacing("zone=\"a\" cap=\"0.9\"", "zone=\"q\" cap=\"0.9\""),
+                 "f.xml:2: ", "release.zone: unknown: q"));
+    assert(names(error_after_replacing("</pineridge>", ""), "f.xml:", ""));
 }
 
-void a_registry_is_read() {
-    const auto text = [](const std::string &attributes, const std::string &inside) {
+void registry_settings_are_read() {
+    const auto text = [](const std::string &attributes, const std::string &children) {
         return R"(<pineridge xmlns="urn:pineridge:settings:1"><registry prefix="/h/" )" + attributes +
-               R"(><endpoint address="127.0.0.1:1"/>)" + inside + "</registry></pineridge>";
+               R"(><endpoint address="127.0.0.1:1"/>)" + children + "</registry></pineridge>";
     };
-    const Registry registry = *read_wishes(text("plaintext=\"true\"", R"(<endpoint address="127.0.0.1:2"/>
+    const RegistrySettings registry =
+        *read_settings(text("plaintext=\"true\"", R"(<endpoint address="127.0.0.1:2"/>
         <doubt share="0.25" for-s="2"/><watch quiet-s="3" page="9"/><register key="/routers/a" life-s="5"/>)"),
-                                           "f.xml")
-                                   .registry;
+                       "f.xml")
+             .registry;
     assert(registry.endpoints.size() == 2 && registry.prefix == "/h/" && registry.doubt_share == 0.25);
-    assert(registry.doubt_for == 20000 && registry.quiet == 30000 && registry.page == 9 &&
-           registry.look == 100000);
-    assert(registry.plaintext && registry.kind == Registry::Kind::etcd && registry.own_key == "/routers/a" &&
-           registry.own_life_s == 5);
-    const Registry asked = *read_wishes(text("kind=\"blocking\"", R"(<query wait-s="9" gap-s="0.1"/>
+    assert(registry.doubt_timeout == 20000 && registry.watch_timeout == 30000 && registry.page_size == 9 &&
+           registry.audit_interval == 100000);
+    assert(registry.plaintext && registry.kind == RegistrySettings::Kind::etcd &&
+           registry.registration_key == "/routers/a" && registry.registration_ttl_s == 5);
+    const RegistrySettings blocking =
+        *read_settings(text("kind=\"blocking\"", R"(<query wait-s="9" gap-s="0.1"/>
         <tls ca="/ca" certificate="/c" key="/k" name="n"/>)"),
-                                        "f.xml")
-                                .registry;
-    assert(asked.kind == Registry::Kind::blocking && asked.wait == 90000 && asked.gap == 1000 &&
-           asked.authorities == "/ca" && asked.certificate == "/c" && asked.key == "/k" && asked.name == "n");
-    const auto fault = [&](const std::string &attributes, const std::string &inside) -> std::string {
+                       "f.xml")
+             .registry;
+    assert(blocking.kind == RegistrySettings::Kind::blocking && blocking.query_wait == 90000 &&
+           blocking.query_gap == 1000 && blocking.ca_file == "/ca" && blocking.certificate_file == "/c" &&
+           blocking.key_file == "/k" && blocking.server_name == "n");
+    const auto error_of = [&](const std::string &attributes, const std::string &children) -> std::string {
         try {
-            read_wishes(text(attributes, inside), "f.xml");
+            read_settings(text(attributes, children), "f.xml");
         } catch (const BadInput &bad) {
             return bad.what();
         }
         return "";
     };
-    const std::string plain = "plaintext=\"true\"";
-    assert(fault(plain, R"(<watch progress-s="2" quiet-s="1"/>)") ==
+    const std::string plaintext = "plaintext=\"true\"";
+    assert(error_of(plaintext, R"(<watch progress-s="2" quiet-s="1"/>)") ==
            "f.xml:1: watch.quiet-s: not above progress-s");
-    assert(fault("", "") == "f.xml:1: registry.plaintext: not told, and there is no tls");
-    assert(fault(plain, R"(<tls ca="/ca"/>)") == "f.xml:1: tls.ca: beside plaintext");
-    assert(fault("", R"(<tls ca="/ca" certificate="/c"/>)") ==
-           "f.xml:1: tls.certificate: goes with key, and key with it");
-    assert(fault(plain, R"(<register key="/h/me"/>)") ==
-           "f.xml:1: register.key: under prefix, where hosts are");
-    assert(fault(plain + " kind=\"blocking\"", R"(<register key="/r"/>)") ==
-           "f.xml:1: register.key: kind blocking registers none");
-    assert(fault(plain + " kind=\"zoo\"", "").find("f.xml:1: ") == 0);
+    assert(error_of("", "") == "f.xml:1: registry.plaintext: not set, and there is no tls element");
+    assert(error_of(plaintext, R"(<tls ca="/ca"/>)") == "f.xml:1: tls.ca: not allowed with plaintext");
+    assert(error_of("", R"(<tls ca="/ca" certificate="/c"/>)") ==
+           "f.xml:1: tls.certificate: certificate and key must be set together");
+    assert(error_of(plaintext, R"(<register key="/h/me"/>)") ==
+           "f.xml:1: register.key: must not be under prefix, where the hosts are");
+    assert(error_of(plaintext + " kind=\"blocking\"", R"(<register key="/r"/>)") ==
+           "f.xml:1: register.key: not supported with kind blocking");
+    assert(error_of(plaintext + " kind=\"zoo\"", "").find("f.xml:1: ") == 0);
 }
 
-// An entity that names a file is not read.
-void no_file_is_read_by_the_way() {
+// Guards against reading local files through XML external entities.
+void external_entities_are_rejected() {
     try {
-        read_wishes("<!DOCTYPE p [<!ENTITY e SYSTEM \"file:///etc/hostname\">]><pineridge "
-                    "xmlns=\"urn:pineridge:settings:1\">&e;</pineridge>",
-                    "f.xml");
+        read_settings("<!DOCTYPE p [<!ENTITY e SYSTEM \"file:///etc/hostname\">]><pineridge "
+                      "xmlns=\"urn:pineridge:settings:1\">&e;</pineridge>",
+                      "f.xml");
         assert(false);
     } catch (const BadInput &) {
     }
@@ -122,8 +132,8 @@
 } // namespace
 
 int main() {
-    all_is_read();
-    faults_name_file_line_and_key();
-    a_registry_is_read();
-    no_file_is_read_by_the_way();
+    release_settings_are_read();
+    errors_name_file_line_and_key();
+    registry_settings_are_read();
+    external_entities_are_rejected();
 }
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -1,4 +1,5 @@
-// The adapter: reading, rounding and bad input.
+// The simulator's adapter: the rounding of times, the translation of decisions, and the messages for bad
+// input.
 #undef NDEBUG
 #include "simhost/reader.hpp"
 #include "simhost/writer.hpp"
@@ -10,7 +11,7 @@
 
 namespace {
 
-std::string complaint(const std::string &line) {
+std::string error_of(const std::string &line) {
     Reader reader;
     try {
         reader.reply(line);
@@ -20,15 +21,15 @@
     return "";
 }
 
-bool tells(const std::string &line, const std::string &part) {
-    return complaint(line).find(part) != std::string::npos;
+bool error_names(const std::string &line, const std::string &part) {
+    return error_of(line).find(part) != std::string::npos;
 }
 
 void times_round_down_to_tenths_of_a_millisecond() {
-    assert(ticks_down(8.41225) == 84122);
-    assert(ticks_down(8.0051) == 80051);
-    assert(ticks_down(0.3) == 3000);
-    assert(ticks_down(1.0000999) == 10001 && ticks_down(1.000099) == 10000);
+    assert(ticks_from_seconds(8.41225) == 84122);
+    assert(ticks_from_seconds(8.0051) == 80051);
+    assert(ticks_from_seconds(0.3) == 3000);
+    assert(ticks_from_seconds(1.0000999) == 10001 && ticks_from_seconds(1.000099) == 10000);
 }
 
 void empty_batch_is_answered() {
@@ -37,18 +38,18 @@
 }
 
 void bad_lines_name_frame_and_field() {
-    assert(tells("nonsense", "not JSON"));
-    assert(tells(R"({"frame":3,"events":[]})", "frame 3: clock"));
-    assert(tells(R"({"clock":1,"frame":4,"events":[{"cmd":"NEW","who":"router/1"}]})", "frame 4: who"));
-    assert(tells(R"({"clock":1,"frame":5,"events":[{"who":"router/1"}]})", "frame 5: cmd"));
-    assert(
-        tells(R"({"clock":1,"frame":6,"events":[{"cmd":"POOL","sheet":99,"items":[]}]})", "frame 6: sheet"));
-    assert(tells(
+    assert(error_names("nonsense", "not JSON"));
+    assert(error_names(R"({"frame":3,"events":[]})", "frame 3: clock"));
+    assert(error_names(R"({"clock":1,"frame":4,"events":[{"cmd":"NEW","who":"router/1"}]})", "frame 4: who"));
+    assert(error_names(R"({"clock":1,"frame":5,"events":[{"who":"router/1"}]})", "frame 5: cmd"));
+    assert(error_names(R"({"clock":1,"frame":6,"events":[{"cmd":"POOL","sheet":99,"items":[]}]})",
+                       "frame 6: sheet"));
+    assert(error_names(
         R"({"clock":1,"frame":7,"events":[{"cmd":"SPAWN","who":"router/1","rngSeed":1,"profileData":{}}]})",
         "permissions"));
 }
 
-void answers_become_messages() {
+void decisions_become_actions() {
     const auto pick =
         action("router/1", {.action = Action::pick, .rpc = "r-a", .host = "h:1", .duration = 805});
     assert(pick["cmd"] == "ATTEMPT" && pick["tid"] == "r-a" && pick["host"] == "h:1" &&
@@ -65,5 +66,5 @@
     times_round_down_to_tenths_of_a_millisecond();
     empty_batch_is_answered();
     bad_lines_name_frame_and_field();
-    answers_become_messages();
+    decisions_become_actions();
 }
--- a/tests/socket_test.cpp
+++ b/tests/socket_test.cpp
@@ -119,7 +119,7 @@
     // Connections to draining hosts may exceed the limit for hosts by a few. A close is noticed one turn of
     // the event loop later.
     const Limits &limits = town.start.limits;
-    const int max_open = static_cast<int>(limits.hosts + limits.drains);
+    const int max_open = static_cast<int>(limits.host_connections + limits.drain_connections);
     assert(town.host.taken > 0);
     town.until([&] { return town.host.taken - town.host.closed <= max_open; });
     assert(town.host.taken - town.host.closed <= max_open);
@@ -144,7 +144,7 @@
     Town town;
     town.serve();
     std::vector<tcp::socket> clients;
-    for (std::size_t i = 0; i < town.start.limits.kept + 10; ++i) {
+    for (std::size_t i = 0; i < town.start.limits.idle_eviction_threshold + 10; ++i) {
         clients.push_back(client_of(town));
         asio::write(clients.back(), asio::buffer("*1\r\n" + bulk("PING")));
         town.until([&] { return clients.back().available() > 0; });
@@ -161,7 +161,7 @@
     std::raise(SIGTERM);
     std::vector<tcp::socket> clients;
     auto next = std::chrono::steady_clock::now();
-    const auto end = next + 5 * town.start.limits.leave_least;
+    const auto end = next + 5 * town.start.limits.min_shutdown_time;
     town.until([&] {
         const auto now = std::chrono::steady_clock::now();
         assert(now < end);
@@ -182,7 +182,7 @@
     town.told["settings"]["instances"] = 300;
     town.write(town.told.dump());
     town.start = read_start_file(town.path, town.environment);
-    town.start.limits.list_hold = town.start.limits.list_grace = Span(200);
+    town.start.limits.list_poll_wait = town.start.limits.list_poll_grace = Milliseconds(200);
     town.keep_watches_silent();
     town.service.emplace(town.io, town.path, town.environment, town.start, town.log, [] {});
     town.until([&] { return town.list.taken == 1; });
@@ -200,7 +200,7 @@
         town.write(town.told.dump());
         town.serve();
         town.until([&] { return town.has_logged("serving"); });
-        assert(town.start.limits.warm == (instances == 1 ? 12 : 0));
+        assert(town.start.limits.warm_connections == (instances == 1 ? 12 : 0));
         assert((town.host.taken > 0) == (instances == 1));
     }
 }
@@ -213,7 +213,7 @@
     town.write(town.told.dump());
     town.serve();
     client_of(town);
-    assert(town.start.limits.leave_by == Span(800));
+    assert(town.start.limits.shutdown_timeout == Milliseconds(800));
     const auto signalled_at = std::chrono::steady_clock::now();
     std::raise(SIGTERM);
     town.until([&] { return town.has_logged("leaving"); });
@@ -221,7 +221,7 @@
     asio::write(late, asio::buffer(ask("id-one"))); // its host does not answer; its timeout is five seconds
     town.until([&] { return late.available() > 0; });
     town.until([&] { return town.left; });
-    assert(std::chrono::steady_clock::now() - signalled_at < 3 * town.start.limits.leave_by);
+    assert(std::chrono::steady_clock::now() - signalled_at < 3 * town.start.limits.shutdown_timeout);
 }
 
 void an_invalid_file_changes_nothing() {
