--- a/src/settings/read.hpp
+++ b/src/settings/read.hpp
@@ -17,7 +17,7 @@
     std::optional<ReleaseSettings> release;
     std::optional<RegistrySettings> registry;
     std::optional<AdmissionSettings> admission;
-    std::string rehearsal{}; // configuration file of the deployment to rehearse; empty: there is no rehearsal
+    std::string rehearsal{}; // JSON settings of the deployment to rehearse; empty: no rehearsal
 };
 
 // Parse settings. Both throw BadInput with "FILE:LINE: KEY: FAULT"; `file` is the FILE of that text.
--- a/src/settings/release.hpp
+++ b/src/settings/release.hpp
@@ -48,7 +48,7 @@
 struct Segment {
     std::string name;
     double cap = 1; // largest share of its RPCs at a build that is not released in all cells
-    double share = 1; // of the traffic, relative to the other segments
+    double share = 1; // its part of the traffic, relative to the other segments
 };
 
 enum class WaveOrder { zones, customers, canary, balanced };
@@ -59,18 +59,21 @@
     std::string desk; // address of the release desk; empty: the plan is computed without one
     std::vector<Segment> zones;
     std::vector<Segment> customers;
-    std::vector<double> stages; // share of a cell's RPCs by stage; stage 0 has none
-    double cap = 1; // of all cells together
+    std::vector<double> stages; // each stage's share of a cell's RPCs; that of stage 0 is 0
+    double cap = 1; // it applies to all cells
     WaveOrder order = WaveOrder::zones;
-    int wave_gate_stage = 0; // stage that a wave's cells must reach before the next wave opens
+    // The next wave opens when the cells of a wave have reached this stage.
+    int wave_gate_stage = 0;
     std::vector<int> canaries; // cell indices
-    int min_picks = 20; // in a cell's stage, before this router votes for the next stage
-    Ticks silent_after =
-        600000; // a cell without RPCs for this long does not hold up others; 0: it always does
-    Ticks opinion_interval = 40000; // before an opinion is repeated
-    Ticks freeze_settle_time = 50000; // after a freeze ends, before anything advances
-    Ticks rollback_delay = 20000; // after a dependency is lost, before the first cell is rolled back
-    Ticks rollback_step = 10000; // between the rollbacks of two cells
+    // A cell's stage needs this many picks before this router gives an opinion for the next stage.
+    int min_picks = 20;
+    // A cell without RPCs for this long does not hold up the next wave; 0: every cell does.
+    Ticks silent_after = 600000;
+    Ticks opinion_interval = 40000; // an opinion is repeated after this time
+    Ticks freeze_settle_time = 50000; // a freeze stays in effect for this long after its end
+    // The first cell is rolled back this long after a dependency is lost, and the others one by one.
+    Ticks rollback_delay = 20000;
+    Ticks rollback_step = 10000;
     std::vector<Freeze> freezes;
     std::vector<Dependency> dependencies;
     std::size_t max_builds = 20;
