--- a/src/cli/admission.cpp
+++ b/src/cli/admission.cpp
@@ -35,7 +35,7 @@
 int show(const Options &options) {
     const AdmissionSettings rules = load_admission_settings(options);
     std::cout << (rules.observe ? "observing: nothing is refused" : "enforced") << ", networks "
-              << rules.networks.size() << ", fronts " << rules.fronts.size() << "\n";
+              << rules.networks.size() << ", fronts " << rules.trusted_proxies.size() << "\n";
     for (const Crowd &crowd : rules.crowds) {
         std::cout << "crowd " << crowd.name << ": weight " << crowd.weight << ", reserve "
                   << crowd.reserved_connections;
@@ -66,7 +66,7 @@
     const AddressBits bits = to_address_bits(address);
     const admission::ConnectionLimiter limiter(rules, options.room, 0);
     std::cout << limiter.explain(bits, 0);
-    for (const Network &front : rules.fronts)
+    for (const Network &front : rules.trusted_proxies)
         if (front.contains(bits))
             std::cout << "a front, by " << front.text() << ": its connections begin with a PROXY header, and "
                       << "the address in it selects the rules\n";
--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -388,7 +388,7 @@
 bool Clients::is_trusted_proxy(const asio::ip::address &from) const {
     if (!admission_rules_) return false;
     const AddressBits number = to_address_bits(from);
-    return std::any_of(admission_rules_->fronts.begin(), admission_rules_->fronts.end(),
+    return std::any_of(admission_rules_->trusted_proxies.begin(), admission_rules_->trusted_proxies.end(),
                        [&](const Network &proxy) { return proxy.contains(number); });
 }
 
--- a/src/settings/admission.hpp
+++ b/src/settings/admission.hpp
@@ -69,7 +69,7 @@
     Ticks command_timeout = 100000;
     Ticks unread_timeout = 100000;
     // Connections from these load balancers begin with a PROXY header.
-    std::vector<Network> fronts;
+    std::vector<Network> trusted_proxies;
 };
 
 } // namespace pineridge
--- a/src/settings/read.cpp
+++ b/src/settings/read.cpp
@@ -315,7 +315,7 @@
     node.read_seconds("trust-half-s", admission.trust_half_life);
     read_crowds(node, admission);
     for (const Node &front : node.children("front"))
-        admission.fronts.push_back(read_network_attribute(front, "address"));
+        admission.trusted_proxies.push_back(read_network_attribute(front, "address"));
     for (const Node &slow : node.children("slow")) {
         slow.read_seconds("first-byte-s", admission.first_byte_timeout);
         slow.read_seconds("command-s", admission.command_timeout);
