--- a/src/router/start.cpp
+++ b/src/router/start.cpp
@@ -112,7 +112,7 @@
     if (read.ec != std::errc{} || read.ptr != seed.data() + seed.size())
         throw_field_error("seed", "not a hex number");
     const json &settings = required_field(from, "settings");
-    start.terms = read_terms(settings);
+    start.terms = read_deployment_config(settings);
     start.list_at_hand = !start.terms.requests_host_list;
     start.names = read_names(settings);
     for (const Method &method : start.terms.methods)
@@ -152,7 +152,7 @@
     const json from = json::parse(file, nullptr, false);
     if (!from.is_object()) throw_field_error("rehearsal.settings", (path + ": not a JSON object").c_str());
     try {
-        DeploymentConfig terms = read_terms(from);
+        DeploymentConfig terms = read_deployment_config(from);
         const Names told = read_names(from);
         const auto same = [](const auto &now, const auto &then, const char *key) {
             if (now != then)
--- a/src/router/start.hpp
+++ b/src/router/start.hpp
@@ -6,7 +6,7 @@
 #include "base/log.hpp"
 #include "membership/access.hpp"
 #include "settings/read.hpp"
-#include "terms/terms.hpp"
+#include "terms/deployment_config.hpp"
 
 #include <functional>
 #include <string>
--- a/src/simhost/reader.cpp
+++ b/src/simhost/reader.cpp
@@ -1,6 +1,6 @@
 #include "simhost/reader.hpp"
 #include "simhost/writer.hpp"
-#include "terms/terms.hpp"
+#include "terms/deployment_config.hpp"
 
 #include <algorithm>
 
@@ -31,9 +31,9 @@
     entry.kind = read_int(object, "kind");
     entry.cell = read_int(object, "cell");
     entry.build = read_int(object, "release");
-    const int standing = read_int(object, "stageState");
-    if (standing < 1 || standing > 3) throw_field_error("stageState", "out of range");
-    entry.status = static_cast<HostStatus>(standing);
+    const int status = read_int(object, "stageState");
+    if (status < 1 || status > 3) throw_field_error("stageState", "out of range");
+    entry.status = static_cast<HostStatus>(status);
     entry.rating = read_number(object, "rating");
     entry.started = has_field(object, "readyAt") ? read_ticks(object, "readyAt") : 0;
     return entry;
@@ -51,17 +51,17 @@
     return arrival;
 }
 
-RolloutUpdate read_news(const json &object) {
-    RolloutUpdate news{};
-    news.valid = read_outcome(object) == Outcome::ok;
-    news.answers_vote = read_int(object, "reason") == 1;
-    if (!news.valid) return news;
-    news.build = read_int(object, "image");
-    news.stage = read_int(object, "stage");
-    news.phase = static_cast<Phase>(read_index(object, "whereAt", 4));
-    news.cap = read_number(object, "ceiling");
-    news.age = has_field(object, "old") ? read_ticks(object, "old") : 0;
-    return news;
+RolloutUpdate read_rollout_update(const json &object) {
+    RolloutUpdate update{};
+    update.valid = read_outcome(object) == Outcome::ok;
+    update.answers_vote = read_int(object, "reason") == 1;
+    if (!update.valid) return update;
+    update.build = read_int(object, "image");
+    update.stage = read_int(object, "stage");
+    update.phase = static_cast<Phase>(read_index(object, "whereAt", 4));
+    update.cap = read_number(object, "ceiling");
+    update.age = has_field(object, "old") ? read_ticks(object, "old") : 0;
+    return update;
 }
 
 std::string read_hex(const json &object, const char *field) {
@@ -98,8 +98,8 @@
     if (cmd == "SPAWN") {
         const json &seed = required_field(event, "rngSeed");
         if (!seed.is_number_integer()) throw_field_error("rngSeed", "not an integer");
-        routers_[who] =
-            make_router(read_terms(required_field(event, "profileData")), seed.get<std::uint64_t>());
+        routers_[who] = make_router(read_deployment_config(required_field(event, "profileData")),
+                                    seed.get<std::uint64_t>());
         routers_[who]->set_time(now);
         return;
     }
@@ -120,7 +120,7 @@
         return router.update_hosts(host_lists_[read_index(event, "sheet", host_lists_.size())], kind != 0);
     }
     if (cmd == "EXPIRED") return router.rpc_finished(read_string(event, "tid"), -1);
-    if (cmd == "STEP_NEWS") return router.update_rollout(read_news(event));
+    if (cmd == "STEP_NEWS") return router.update_rollout(read_rollout_update(event));
     if (cmd == "TALLY")
         return router.add_platform_stats({read_int(event, "image"), read_int(event, "service"),
                                           read_int(event, "many"), read_int(event, "errors"),
--- a/src/terms/terms.cpp
+++ b/src/terms/deployment_config.cpp
@@ -1,4 +1,4 @@
-#include "terms/terms.hpp"
+#include "terms/deployment_config.hpp"
 
 #include <algorithm>
 
@@ -48,38 +48,38 @@
 
 } // namespace
 
-DeploymentConfig read_terms(const json &profile) {
-    DeploymentConfig terms{};
+DeploymentConfig read_deployment_config(const json &profile) {
+    DeploymentConfig config{};
     const json &permissions = required_field(profile, "permissions");
     const json &rules = required_field(profile, "rules");
-    terms.instances = std::max(1, read_int(profile, "instances"));
-    if (has_field(profile, "ordinal")) terms.ordinal = read_index(profile, "ordinal", terms.instances);
-    terms.requests_host_list = read_enum<bool>(profile, "membershipMode", {{"push", false}, {"ask", true}});
-    terms.may_cancel = read_bool(permissions, "cancel");
-    terms.exchanges_summaries = read_bool(permissions, "peers");
-    terms.second_copies = read_bool(permissions, "secondCopies");
-    terms.advise_retry_after = read_bool(permissions, "retryAfter");
-    terms.max_picks = read_int(permissions, "maxAttempts");
-    terms.max_retry_after = read_ticks(permissions, "maxRetryAfter");
-    if (has_field(permissions, "keepalive")) terms.keepalive = read_ticks(permissions, "keepalive");
-    if (terms.keepalive < 0) throw_field_error("keepalive", "below 0");
-    terms.utility_per_work = read_enum<bool>(profile, "valueBy", {{"request", false}, {"work", true}});
-    terms.warm_up_time = read_ticks(rules, "warmUp");
-    terms.overload_window = read_ticks(rules, "overloadFor");
-    terms.cold_capacity_share = read_number(rules, "coldShare");
-    terms.overload_multiple = read_number(rules, "tipMultiple");
-    for (const json &method : read_array(profile, "classes")) terms.methods.push_back(read_method(method));
-    if (terms.methods.empty()) throw_field_error("classes", "empty");
+    config.instances = std::max(1, read_int(profile, "instances"));
+    if (has_field(profile, "ordinal")) config.ordinal = read_index(profile, "ordinal", config.instances);
+    config.requests_host_list = read_enum<bool>(profile, "membershipMode", {{"push", false}, {"ask", true}});
+    config.may_cancel = read_bool(permissions, "cancel");
+    config.exchanges_summaries = read_bool(permissions, "peers");
+    config.second_copies = read_bool(permissions, "secondCopies");
+    config.advise_retry_after = read_bool(permissions, "retryAfter");
+    config.max_picks = read_int(permissions, "maxAttempts");
+    config.max_retry_after = read_ticks(permissions, "maxRetryAfter");
+    if (has_field(permissions, "keepalive")) config.keepalive = read_ticks(permissions, "keepalive");
+    if (config.keepalive < 0) throw_field_error("keepalive", "below 0");
+    config.utility_per_work = read_enum<bool>(profile, "valueBy", {{"request", false}, {"work", true}});
+    config.warm_up_time = read_ticks(rules, "warmUp");
+    config.overload_window = read_ticks(rules, "overloadFor");
+    config.cold_capacity_share = read_number(rules, "coldShare");
+    config.overload_multiple = read_number(rules, "tipMultiple");
+    for (const json &method : read_array(profile, "classes")) config.methods.push_back(read_method(method));
+    if (config.methods.empty()) throw_field_error("classes", "empty");
     if (has_field(profile, "tenants"))
         for (const json &tenant : read_array(profile, "tenants"))
-            terms.tenant_quotas.push_back(has_field(tenant, "quotaPerS") ? read_number(tenant, "quotaPerS")
-                                                                         : 0);
+            config.tenant_quotas.push_back(has_field(tenant, "quotaPerS") ? read_number(tenant, "quotaPerS")
+                                                                          : 0);
     const json &report = required_field(profile, "report");
     if (has_field(report, "fields"))
         for (const json &name : read_array(report, "fields"))
-            terms.report_fields.push_back(name.is_string() ? name.get<std::string>() : "");
-    terms.rollout = read_rollout(required_field(profile, "familyInfo"));
-    return terms;
+            config.report_fields.push_back(name.is_string() ? name.get<std::string>() : "");
+    config.rollout = read_rollout(required_field(profile, "familyInfo"));
+    return config;
 }
 
 } // namespace pineridge
--- a/src/terms/terms.hpp
+++ b/src/terms/deployment_config.hpp
@@ -6,6 +6,6 @@
 namespace pineridge {
 
 // Throws BadInput that names the field at fault.
-DeploymentConfig read_terms(const json &profile);
+DeploymentConfig read_deployment_config(const json &profile);
 
 } // namespace pineridge
--- a/tests/rehearsal/loopback_test.cpp
+++ b/tests/rehearsal/loopback_test.cpp
@@ -106,8 +106,8 @@
     given["permissions"].erase("keepalive");
     json explicit_defaults = given;
     explicit_defaults["permissions"]["keepalive"] = 0;
-    const DeploymentConfig omitted = read_terms(given);
-    const DeploymentConfig written = read_terms(explicit_defaults);
+    const DeploymentConfig omitted = read_deployment_config(given);
+    const DeploymentConfig written = read_deployment_config(explicit_defaults);
     assert(omitted.ordinal < 0 && written.ordinal < 0 && omitted.keepalive == 0 && written.keepalive == 0);
 }
 
