--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -1,4 +1,4 @@
-// TCP addresses in configuration and messages: an IP address, a colon and a port.
+// Parses TCP addresses as configuration and messages write them: an IP address, a colon and a port.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
--- a/src/base/bad_input.hpp
+++ b/src/base/bad_input.hpp
@@ -1,5 +1,5 @@
-// The exception for configuration, settings and messages that cannot be used. Its text names the key, field
-// or file position at fault.
+// BadInput is thrown for configuration, settings and messages that cannot be used. Its text names the key,
+// field or file position at fault.
 #pragma once
 
 #include <stdexcept>
--- a/src/base/limits.hpp
+++ b/src/base/limits.hpp
@@ -1,5 +1,5 @@
-// Sizes, counts and times that bound the router's I/O. They are filled once at start, passed by reference and
-// never changed afterwards. Every connection takes one file descriptor.
+// Limits holds the sizes, counts and times that bound the router's I/O. They are filled once at start, passed
+// by reference and never changed afterwards. Every connection takes one file descriptor.
 #pragma once
 
 #include <chrono>
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,4 +1,4 @@
-// Log lines at or above a level, written through spdlog to an ostream and flushed line by line. The plain
+// Writes log lines at or above a level through spdlog to an ostream, and flushes every line. The plain
 // format is `n3 info: text` and, for events, `n3 info: release.stage build=7 zone=a`; the JSON format writes
 // one object a line. A log is not thread-safe, and the stream must outlive it.
 #pragma once
--- a/src/base/networks.hpp
+++ b/src/base/networks.hpp
@@ -1,4 +1,4 @@
-// IP networks, and a table that maps an address to a group by longest prefix. The table is built once and
+// Represents IP networks, and maps an address to a group by longest prefix. The table is built once and
 // never changed. An IPv4 address and its IPv4-mapped IPv6 form (::ffff:a.b.c.d, RFC 4291 section 2.5.5.2) are
 // equal.
 #pragma once
--- a/src/cli/admission.cpp
+++ b/src/cli/admission.cpp
@@ -1,5 +1,5 @@
-// `admission show` and `admission explain ADDRESS`: the effect of the settings' admission rules on a router
-// without connections.
+// `admission show` and `admission explain ADDRESS` print the effect of the settings' admission rules on a
+// router without connections.
 #include "admission/connection_limiter.hpp"
 #include "base/bad_input.hpp"
 #include "cli/commands.hpp"
--- a/src/cli/now.hpp
+++ b/src/cli/now.hpp
@@ -1,4 +1,4 @@
-// The wall-clock time in ticks since the Unix epoch.
+// Returns the wall-clock time in ticks since the Unix epoch.
 #pragma once
 
 #include "base/limits.hpp"
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -41,8 +41,8 @@
     return member;
 }
 
-const char *name_of(HostStatus standing) {
-    return standing == HostStatus::ready ? "ready" : standing == HostStatus::draining ? "draining" : "gone";
+const char *name_of(HostStatus status) {
+    return status == HostStatus::ready ? "ready" : status == HostStatus::draining ? "draining" : "gone";
 }
 
 void print(std::ostream &out, const Record &record) {
--- a/src/settings/admission.hpp
+++ b/src/settings/admission.hpp
@@ -1,5 +1,5 @@
-// The operators' settings of admission control: plain data, read and checked by settings/read.cpp. Times are
-// ticks. A bound of 0 means that there is none.
+// Holds the operators' settings of admission control as plain data; settings/read.cpp reads and checks them.
+// Times are ticks. A bound of 0 means that there is none.
 #pragma once
 
 #include "base/networks.hpp"
--- a/src/settings/load.hpp
+++ b/src/settings/load.hpp
@@ -1,5 +1,5 @@
-// The interface between the program and pineridge_settings.so. Both must come from one build; the size of
-// Settings is compared as a check.
+// Declares the interface between the program and pineridge_settings.so. Both must come from one build; the
+// size of Settings is compared as a check.
 #pragma once
 
 #include <cstddef>
--- a/src/settings/read.hpp
+++ b/src/settings/read.hpp
@@ -1,6 +1,6 @@
-// The operators' settings: an XML file, validated against src/settings/pineridge.xsd, which is compiled into
-// the reader. The reader and libxml2 are in a shared library that is loaded only when a settings file is
-// configured, so that a router without one does not carry them.
+// Reads the operators' settings from an XML file, which is validated against src/settings/pineridge.xsd. That
+// schema is compiled into the reader. The reader and libxml2 are in a shared library that is loaded only when
+// a settings file is configured, so that a router without one does not carry them.
 #pragma once
 
 #include "base/bad_input.hpp"
--- a/src/settings/registry.hpp
+++ b/src/settings/registry.hpp
@@ -1,5 +1,5 @@
-// The operators' settings of a registry that holds the list of hosts: plain data, read and checked by
-// settings/read.cpp. Times are ticks unless the name says otherwise.
+// Holds the operators' settings of a registry with the list of hosts as plain data; settings/read.cpp
+// reads and checks them. Times are ticks unless the name says otherwise.
 #pragma once
 
 #include "logic.hpp"
--- a/src/settings/release.hpp
+++ b/src/settings/release.hpp
@@ -1,5 +1,5 @@
-// The operators' settings of staged releases: plain data, read and checked by settings/read.cpp. Times are
-// ticks (tenths of a millisecond); calendar times count from the Unix epoch.
+// Holds the operators' settings of staged releases as plain data; settings/read.cpp reads and checks them.
+// Times are ticks (tenths of a millisecond); calendar times count from the Unix epoch.
 #pragma once
 
 #include "logic.hpp"
--- a/src/terms/fields.hpp
+++ b/src/terms/fields.hpp
@@ -1,4 +1,4 @@
-// Typed access to the fields of JSON objects. Every function that reads throws BadInput that names the field.
+// Reads the fields of JSON objects with type checks. A read function throws BadInput that names the field.
 #pragma once
 
 #include "base/bad_input.hpp"
--- a/tests/admission/networks_test.cpp
+++ b/tests/admission/networks_test.cpp
@@ -1,4 +1,4 @@
-// Longest-prefix lookup, compared with a linear search, and errors for texts that are not networks.
+// Compares longest-prefix lookup with a linear search, and checks the errors for texts that are not networks.
 #undef NDEBUG
 #include "base/bad_input.hpp"
 #include "base/networks.hpp"
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings file: the values that are read, and errors that name file, line and key.
+// Checks the values that are read from a settings file, and that errors name file, line and key.
 #undef NDEBUG
 #include "settings/read.hpp"
 
@@ -19,7 +19,7 @@
 </release>
 </pineridge>)";
 
-// The error for the valid settings with one text replaced by another.
+// Returns the error for the valid settings with one text replaced by another.
 std::string error_after_replacing(const std::string &from, const std::string &to) {
     std::string text = kValidSettings;
     const std::size_t at = text.find(from);
--- a/tests/simhost_test.cpp
+++ b/tests/simhost_test.cpp
@@ -1,5 +1,4 @@
-// The simulator's adapter: the rounding of times, the translation of decisions, and the messages for bad
-// input.
+// Checks how the simulator's adapter rounds times, translates decisions and reports bad input.
 #undef NDEBUG
 #include "simhost/reader.hpp"
 #include "simhost/writer.hpp"
