--- a/src/release/plan.hpp
+++ b/src/release/plan.hpp
@@ -70,7 +70,8 @@
         std::string refusal;
         bool pulled = false;
         Waves waves;
-        std::vector<int> cells_behind; // by wave: number of cells below the stage `Scheme::follow`
+        std::vector<int>
+            cells_behind; // by wave: number of cells below the stage `ReleaseSettings::wave_gate_stage`
         std::size_t released_cells = 0;
         std::vector<CellState> cells;
         std::uint32_t advances = 0;
