--- a/bench/release_cost.cpp
+++ b/bench/release_cost.cpp
@@ -22,26 +22,26 @@
 struct Load {
     explicit Load(int cells)
         : cells_(cells), bench_([&] {
-              DeploymentConfig given = test::terms(RepeatPolicy::idempotent);
+              DeploymentConfig given = test::deployment_config(RepeatPolicy::idempotent);
               given.default_cell_share = cells > 0 ? 0 : 1;
               given.second_copies = false;
               given.rollout.stage_shares = {0.3, 1};
               return given;
           }()) {
-        bench_.at(1000000);
-        for (int i = 0; i < 20; ++i) bench_.host("h" + std::to_string(i), 1 + i % 2);
-        bench_.news(2, 1, Phase::on_trial, 1);
+        bench_.set_time(1000000);
+        for (int i = 0; i < 20; ++i) bench_.add_host("h" + std::to_string(i), 1 + i % 2);
+        bench_.update_rollout(2, 1, Phase::on_trial, 1);
         for (int cell = 0; cell < cells; ++cell) bench_.router->set_cell_share(2, cell, 0.25);
     }
     // So many RPCs, a tick apart; µs for each.
     double run(int rpcs) {
         const double began = cpu_us();
         for (int i = 0; i < rpcs; ++i) {
-            bench_.at(bench_.clock + 2);
+            bench_.set_time(bench_.now + 2);
             const std::string id = std::to_string(next_++);
             const int cell =
                 cells_ > 0 ? static_cast<int>(chance_.draw() % static_cast<unsigned>(cells_)) : -1;
-            bench_.router->rpc_arrived({id, 0, 0, "", bench_.clock + 5000, false, cell});
+            bench_.router->rpc_arrived({id, 0, 0, "", bench_.now + 5000, false, cell});
             int picks = 0;
             for (Decision made = bench_.router->next_decision(); made.action != Action::none;
                  made = bench_.router->next_decision())
@@ -55,7 +55,7 @@
   private:
     int cells_, next_ = 0;
     Pcg32 chance_{7};
-    test::Bench bench_;
+    test::DecisionFixture bench_;
 };
 
 double resident_mb() {
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -18,15 +18,15 @@
 
 constexpr Ticks kStep = 100; // 10 ms
 
-DeploymentConfig fleet_terms(int instances) {
-    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+DeploymentConfig fleet_config(int instances) {
+    DeploymentConfig given = deployment_config(RepeatPolicy::idempotent);
     given.instances = instances;
     given.requests_host_list = true;
     return given;
 }
 
-std::vector<Bench> fleet(const DeploymentConfig &given) {
-    std::vector<Bench> routers;
+std::vector<DecisionFixture> fleet(const DeploymentConfig &given) {
+    std::vector<DecisionFixture> routers;
     for (int i = 0; i < given.instances; ++i) {
         routers.emplace_back(given);
         routers.back().router = make_router(given, 1000 + i);
@@ -48,10 +48,10 @@
 
     explicit Discovery(std::size_t routers) : answered(routers, -1) {}
 
-    void step(std::vector<Bench> &routers, Ticks now) {
+    void step(std::vector<DecisionFixture> &routers, Ticks now) {
         for (std::size_t i = 0; i < routers.size(); ++i) {
-            routers[i].at(now);
-            if (routers[i].pull(Action::request_host_list).empty()) continue;
+            routers[i].set_time(now);
+            if (routers[i].take_decisions(Action::request_host_list).empty()) continue;
             line.push_back({static_cast<int>(i), now});
             ++calls;
         }
@@ -72,7 +72,7 @@
 // A hundred routers start in one instant where discovery takes twenty calls a second: hardly one is given up,
 // and what changes seconds later does not wait behind calls that nobody waits for any more.
 void a_fleets_start_leaves_discoverys_line_short() {
-    std::vector<Bench> routers = fleet(fleet_terms(100));
+    std::vector<DecisionFixture> routers = fleet(fleet_config(100));
     Discovery discovery(routers.size());
     Ticks longest = 0;
     for (Ticks now = 0; now <= 200000; now += kStep) {
@@ -85,14 +85,14 @@
 
 // One or two routers ask at once, and again soon after a call that failed.
 void few_routers_ask_at_once() {
-    std::vector<Bench> routers = fleet(fleet_terms(2));
-    for (Bench &one : routers) {
-        one.at(0);
-        one.at(600);
-        assert(one.pull(Action::request_host_list).size() == 1);
+    std::vector<DecisionFixture> routers = fleet(fleet_config(2));
+    for (DecisionFixture &one : routers) {
+        one.set_time(0);
+        one.set_time(600);
+        assert(one.take_decisions(Action::request_host_list).size() == 1);
         one.router->host_list_failed(-1);
-        one.at(11000);
-        assert(one.pull(Action::request_host_list).size() == 1);
+        one.set_time(11000);
+        assert(one.take_decisions(Action::request_host_list).size() == 1);
     }
 }
 
@@ -102,25 +102,25 @@
 
 // A trial whose traffic grows on half of sixty hosts; in the last of three periods a quarter of its picks
 // fail, and so many of the earlier build's. The votes of one router of a hundred on that.
-std::vector<Decision> votes_on_tallies(Bench &one, int earlier_failed) {
-    one.at(0);
-    for (int i = 0; i < 60; ++i) one.host(std::to_string(i), 1 + i % 2);
-    one.news(2, 1, Phase::on_trial, 1);
+std::vector<Decision> votes_on_tallies(DecisionFixture &one, int earlier_failed) {
+    one.set_time(0);
+    for (int i = 0; i < 60; ++i) one.add_host(std::to_string(i), 1 + i % 2);
+    one.update_rollout(2, 1, Phase::on_trial, 1);
     for (const bool last : {false, false, true}) {
-        one.at(one.clock + 20000);
+        one.set_time(one.now + 20000);
         one.router->add_platform_stats(row(1, 0, last ? 400 : 700, last ? earlier_failed : 0));
         one.router->add_platform_stats(row(2, 0, last ? 400 : 60, last ? 100 : 0));
     }
-    one.at(one.clock + 1000);
-    return one.pull(Action::vote);
+    one.set_time(one.now + 1000);
+    return one.take_decisions(Action::vote);
 }
 
 // Hosts begin to fail, of either build alike, as the trial's traffic grows: in each period it fails no more
 // than the earlier build does beside it, though over all periods together it does. Nobody of a hundred votes
 // back.
 void hosts_that_fail_send_no_good_build_back() {
-    std::vector<Bench> routers = fleet(fleet_terms(100));
-    for (Bench &one : routers)
+    std::vector<DecisionFixture> routers = fleet(fleet_config(100));
+    for (DecisionFixture &one : routers)
         for (const Decision &made : votes_on_tallies(one, 100)) assert(made.verdict != Verdict::roll_back);
 }
 
@@ -139,39 +139,40 @@
     enum { nothing_met, failures_met, others_must_agree };
     for (const int what : {nothing_met, failures_met, others_must_agree}) {
         const bool met = what == failures_met;
-        DeploymentConfig given = fleet_terms(100);
+        DeploymentConfig given = fleet_config(100);
         if (what == others_must_agree) given.rollout.advance_policy = AdvancePolicy::share_of_votes;
-        Bench one(given);
-        one.at(0);
-        for (int i = 0; i < 60; ++i) one.host(std::to_string(i), 1 + i % 2);
-        one.news(2, 1, Phase::on_trial, 1);
-        one.at(20000);
+        DecisionFixture one(given);
+        one.set_time(0);
+        for (int i = 0; i < 60; ++i) one.add_host(std::to_string(i), 1 + i % 2);
+        one.update_rollout(2, 1, Phase::on_trial, 1);
+        one.set_time(20000);
         one.router->add_platform_stats(row(1, 0, 1400, 0));
         one.router->add_platform_stats(row(2, 0, 20, 0));
         for (int at_trial = 0; at_trial < 4;) {
-            const std::string id = std::to_string(one.next++);
-            one.arrive(id, one.clock + 9000);
-            for (const Decision &made : one.pull(Action::pick)) {
+            const std::string id = std::to_string(one.next_id++);
+            one.send_rpc(id, one.now + 9000);
+            for (const Decision &made : one.take_decisions(Action::pick)) {
                 const bool trial = std::stoi(made.host) % 2 == 1;
                 at_trial += trial;
                 const bool fails = met && trial && at_trial > 2;
-                one.end(id, 0, fails ? Outcome::error : Outcome::ok, true);
+                one.end_pick(id, 0, fails ? Outcome::error : Outcome::ok, true);
             }
         }
-        one.at(40000);
+        one.set_time(40000);
         one.router->add_platform_stats(row(1, 0, 1000, 0));
         one.router->add_platform_stats(row(2, 0, 302, 12));
-        one.at(41000);
+        one.set_time(41000);
         bool back = false;
-        for (const Decision &made : one.pull(Action::vote)) back = back || made.verdict == Verdict::roll_back;
+        for (const Decision &made : one.take_decisions(Action::vote))
+            back = back || made.verdict == Verdict::roll_back;
         assert(back == (what != nothing_met));
     }
 }
 
 // The same figures where the earlier build does not fail are the build's.
 void a_failing_build_is_found_by_a_hundred() {
-    std::vector<Bench> routers = fleet(fleet_terms(100));
-    for (Bench &one : routers) {
+    std::vector<DecisionFixture> routers = fleet(fleet_config(100));
+    for (DecisionFixture &one : routers) {
         const auto votes = votes_on_tallies(one, 0);
         assert(votes.size() == 1 && votes[0].verdict == Verdict::roll_back);
     }
@@ -182,13 +183,13 @@
 void failures_of_one_of_many_speak_where_they_strike_widely() {
     for (const auto &[instances, bad, failures, back] :
          {std::tuple{100, 5, 7, false}, {100, 7, 7, true}, {1, 4, 5, true}}) {
-        Bench bench(fleet_terms(instances));
-        for (int i = 0; i < 9; ++i) bench.host(std::to_string(i), 2);
-        bench.news(2, 0, Phase::on_trial, 1);
+        DecisionFixture fixture(fleet_config(instances));
+        for (int i = 0; i < 9; ++i) fixture.add_host(std::to_string(i), 2);
+        fixture.update_rollout(2, 0, Phase::on_trial, 1);
         std::vector<Decision> picks;
         for (int i = 0; i < 40; ++i) {
-            bench.arrive(std::to_string(i) + "f", 9000);
-            const auto made = bench.pull(Action::pick);
+            fixture.send_rpc(std::to_string(i) + "f", 9000);
+            const auto made = fixture.take_decisions(Action::pick);
             assert(!made.empty());
             picks.push_back(made[0]);
         }
@@ -199,11 +200,11 @@
             const bool fails = failed < failures && (fresh || (failed >= bad && struck.count(made.host)));
             failed += fails;
             if (fails) struck.insert(made.host);
-            bench.end(made.rpc, 0, fails ? Outcome::error : Outcome::ok, true);
+            fixture.end_pick(made.rpc, 0, fails ? Outcome::error : Outcome::ok, true);
         }
         assert(failed == failures && static_cast<int>(struck.size()) == bad);
-        bench.at(bench.clock + 1000);
-        const auto votes = bench.pull(Action::vote);
+        fixture.set_time(fixture.now + 1000);
+        const auto votes = fixture.take_decisions(Action::vote);
         const auto is_back = [](const Decision &made) { return made.verdict == Verdict::roll_back; };
         assert(std::any_of(votes.begin(), votes.end(), is_back) == back);
     }
@@ -216,12 +217,12 @@
     int calls = 0, turned_away = 0;
     std::vector<Ticks> stands_until;
 
-    void step(std::vector<Bench> &routers, Ticks now, Ticks life) {
+    void step(std::vector<DecisionFixture> &routers, Ticks now, Ticks life) {
         stands_until.resize(routers.size(), 0);
         left = std::min(2 * rate, left + rate * kStep / 10000.0);
         for (std::size_t i = 0; i < routers.size(); ++i) {
-            routers[i].at(now);
-            for (const Decision &made : routers[i].pull(Action::vote)) {
+            routers[i].set_time(now);
+            for (const Decision &made : routers[i].take_decisions(Action::vote)) {
                 ++calls;
                 const bool taken = left >= 1;
                 if (taken) left -= 1, stands_until[i] = now + life;
@@ -239,16 +240,16 @@
 // Sixteen calls a second, votes that stand ten seconds, six in ten routers that must stand at once.
 void votes_of_a_fleet_fit_what_is_taken() {
     for (const int instances : {100, 273, 1024}) {
-        DeploymentConfig given = fleet_terms(instances);
+        DeploymentConfig given = fleet_config(instances);
         given.rollout.votes_per_s = instances > 300 ? 80 : 16;
         given.rollout.vote_lifetime = 100000;
         given.rollout.advance_policy = AdvancePolicy::share_of_votes;
         given.rollout.votes_to_advance = instances * 6 / 10;
-        std::vector<Bench> routers = fleet(given);
-        for (Bench &one : routers) {
-            one.at(0);
-            for (int i = 0; i < 4; ++i) one.host(std::to_string(i), 1 + i % 2);
-            one.news(2, 0, Phase::on_trial, 1);
+        std::vector<DecisionFixture> routers = fleet(given);
+        for (DecisionFixture &one : routers) {
+            one.set_time(0);
+            for (int i = 0; i < 4; ++i) one.add_host(std::to_string(i), 1 + i % 2);
+            one.update_rollout(2, 0, Phase::on_trial, 1);
         }
         Platform platform(given.rollout.votes_per_s);
         long most = 0;
@@ -267,13 +268,13 @@
 void a_cold_zone_is_served_within_its_parts() {
     constexpr int kHosts = 60;
     constexpr double kRate = 5; // RPCs a second of each router but one
-    DeploymentConfig given = fleet_terms(100);
+    DeploymentConfig given = fleet_config(100);
     given.cold_capacity_share = 0.4, given.overload_multiple = 4, given.overload_window = 30000,
     given.warm_up_time = 40000;
-    std::vector<Bench> routers = fleet(given);
+    std::vector<DecisionFixture> routers = fleet(given);
     constexpr Ticks kStart = 1000000;
-    for (Bench &one : routers) {
-        one.at(kStart);
+    for (DecisionFixture &one : routers) {
+        one.set_time(kStart);
         std::vector<HostEntry> hosts;
         for (int i = 0; i < kHosts; ++i)
             hosts.push_back({std::to_string(i), 0, 0, 0, 1, HostStatus::ready, 1, kStart});
@@ -287,14 +288,14 @@
     rng.state = 5;
     for (Ticks now = kStart + kStep; now <= kStart + 50000; now += kStep)
         for (std::size_t i = 0; i < routers.size(); ++i) {
-            Bench &one = routers[i];
-            one.at(now);
+            DecisionFixture &one = routers[i];
+            one.set_time(now);
             for (int n = i == 0 ? 5 : 1; n-- > 0;) {
                 if (rng.uniform() >= kRate * kStep / 10000) continue;
-                const std::string id = std::to_string(one.next++) + "r";
-                one.arrive(id, now + 20000);
+                const std::string id = std::to_string(one.next_id++) + "r";
+                one.send_rpc(id, now + 20000);
                 asked += now > kStart + 20000;
-                for (const Decision &made : one.pull(Action::pick)) {
+                for (const Decision &made : one.take_decisions(Action::pick)) {
                     std::deque<Ticks> &at = sent[std::stoi(made.host)];
                     at.push_back(now);
                     while (at.front() < now - given.overload_window) at.pop_front();
@@ -321,7 +322,7 @@
 // A customer's quota, split among many routers, is under one RPC a second at each: what keeps within it
 // counts so, what goes beyond does not.
 void a_part_of_a_quota_under_one_adds_up() {
-    DeploymentConfig given = fleet_terms(300);
+    DeploymentConfig given = fleet_config(300);
     given.tenant_quotas = {75};
     Bare one(given, 7);
     int within = 0;
--- a/tests/kept_keys_test.cpp
+++ b/tests/kept_keys_test.cpp
@@ -26,89 +26,89 @@
 namespace {
 
 DeploymentConfig sticky_keys() {
-    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+    DeploymentConfig given = deployment_config(RepeatPolicy::idempotent);
     given.rollout.sticky_keys = true;
     return given;
 }
 
 // One RPC's only pick, at the one host of the trial.
-void pick_at_trial(Bench &bench) {
-    bench.news(2, 1, Phase::on_trial, 1);
-    bench.host("new", 2);
-    bench.arrive("r", 10000, "k");
-    const auto picks = bench.pull(Action::pick);
+void pick_at_trial(DecisionFixture &fixture) {
+    fixture.update_rollout(2, 1, Phase::on_trial, 1);
+    fixture.add_host("new", 2);
+    fixture.send_rpc("r", 10000, "k");
+    const auto picks = fixture.take_decisions(Action::pick);
     assert(picks.size() == 1 && picks[0].host == "new");
 }
 
-bool sent_to_earlier(Bench &bench) {
-    bench.drain("new");
-    bench.arrive("s", 10000, "k");
-    const auto picks = bench.pull(Action::pick);
+bool sent_to_earlier(DecisionFixture &fixture) {
+    fixture.drain_host("new");
+    fixture.send_rpc("s", 10000, "k");
+    const auto picks = fixture.take_decisions(Action::pick);
     return !picks.empty() && picks[0].host == "old";
 }
 
 void a_key_whose_answer_may_be_lost_stays() {
     for (const Outcome end : {Outcome::connection_lost, Outcome::timed_out, Outcome::cancelled}) {
-        Bench bench(sticky_keys());
-        pick_at_trial(bench);
-        bench.end("r", 0, end, true);
-        bench.host("old", 1);
-        assert(!sent_to_earlier(bench));
+        DecisionFixture fixture(sticky_keys());
+        pick_at_trial(fixture);
+        fixture.end_pick("r", 0, end, true);
+        fixture.add_host("old", 1);
+        assert(!sent_to_earlier(fixture));
     }
 }
 
 void a_key_that_was_not_answered_is_free() {
     for (const Outcome end :
          {Outcome::error, Outcome::host_busy, Outcome::connect_failed, Outcome::not_sent}) {
-        Bench bench(sticky_keys());
-        pick_at_trial(bench);
-        bench.end("r", 0, end, true);
-        bench.host("old", 1);
-        assert(sent_to_earlier(bench));
+        DecisionFixture fixture(sticky_keys());
+        pick_at_trial(fixture);
+        fixture.end_pick("r", 0, end, true);
+        fixture.add_host("old", 1);
+        assert(sent_to_earlier(fixture));
     }
 }
 
 // Its pick is still out: the host may have answered by now.
 void a_key_that_is_out_stays() {
-    Bench bench(sticky_keys());
-    pick_at_trial(bench);
-    bench.host("old", 1);
-    assert(!sent_to_earlier(bench));
+    DecisionFixture fixture(sticky_keys());
+    pick_at_trial(fixture);
+    fixture.add_host("old", 1);
+    assert(!sent_to_earlier(fixture));
 }
 
 // The RPC whose pick was lost is not tried again at an earlier build either, and may be at another host of
 // the newer one.
 void a_lost_pick_is_repeated_at_its_build() {
-    Bench bench(sticky_keys());
-    pick_at_trial(bench);
-    bench.host("old", 1);
-    bench.host("old-too", 1);
-    bench.end("r", 0, Outcome::connection_lost);
-    for (const Decision &made : bench.pull(Action::pick)) assert(made.host == "new");
+    DecisionFixture fixture(sticky_keys());
+    pick_at_trial(fixture);
+    fixture.add_host("old", 1);
+    fixture.add_host("old-too", 1);
+    fixture.end_pick("r", 0, Outcome::connection_lost);
+    for (const Decision &made : fixture.take_decisions(Action::pick)) assert(made.host == "new");
 }
 
 // A silent host of the trial: its RPC is not sent to an earlier build beside it, as long as it may take.
 void a_silent_pick_is_not_repeated_at_an_earlier_build() {
-    Bench bench(sticky_keys());
-    pick_at_trial(bench);
-    bench.host("old", 1);
-    bench.host("old-too", 1);
+    DecisionFixture fixture(sticky_keys());
+    pick_at_trial(fixture);
+    fixture.add_host("old", 1);
+    fixture.add_host("old-too", 1);
     for (Ticks at = 100; at < 9000; at += 100) {
-        bench.at(at);
-        for (const Decision &made : bench.pull(Action::pick)) assert(made.rpc != "r");
+        fixture.set_time(at);
+        for (const Decision &made : fixture.take_decisions(Action::pick)) assert(made.rpc != "r");
     }
 }
 
 // Sent back, the build holds no key any more, neither answered nor out.
 void a_build_sent_back_holds_no_key() {
-    Bench bench(sticky_keys());
-    pick_at_trial(bench);
-    bench.host("old", 1);
-    bench.news(2, 1, Phase::rolling_back, 0);
-    assert(sent_to_earlier(bench));
-    bench.end("r", 0, Outcome::connection_lost, true);
-    bench.arrive("t", 10000, "k");
-    assert(bench.pull(Action::pick).size() == 1);
+    DecisionFixture fixture(sticky_keys());
+    pick_at_trial(fixture);
+    fixture.add_host("old", 1);
+    fixture.update_rollout(2, 1, Phase::rolling_back, 0);
+    assert(sent_to_earlier(fixture));
+    fixture.end_pick("r", 0, Outcome::connection_lost, true);
+    fixture.send_rpc("t", 10000, "k");
+    assert(fixture.take_decisions(Action::pick).size() == 1);
 }
 
 } // namespace
--- a/tests/rehearsal/counts_test.cpp
+++ b/tests/rehearsal/counts_test.cpp
@@ -64,7 +64,7 @@
 }
 
 DeploymentConfig two_methods() {
-    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+    DeploymentConfig given = deployment_config(RepeatPolicy::idempotent);
     given.methods.push_back(given.methods[0]);
     given.methods[1].repeat_policy = RepeatPolicy::non_idempotent;
     return given;
@@ -120,19 +120,19 @@
 // The votes of a stage are compared when the stage changes. The module whose rollout advances by a timer does
 // not vote, so the other one's vote counts as a difference.
 void votes_of_only_one_module_are_counted() {
-    DeploymentConfig given = trial_terms();
+    DeploymentConfig given = idempotent_config();
     DeploymentConfig timed = given;
     timed.rollout.advance_policy = AdvancePolicy::timer;
-    Bench bench(given);
+    DecisionFixture bench(given);
     auto both = std::make_unique<Rehearsal>(make_router(given, 7), make_router(timed, 7));
     const Rehearsal &rehearsal = *both;
     bench.router = std::move(both);
     bench.router->set_time(0);
-    bench.trial_with(40, 0);
-    const auto votes = bench.pull(Action::vote);
+    bench.run_trial(40, 0);
+    const auto votes = bench.take_decisions(Action::vote);
     assert(votes.size() == 1 && votes[0].verdict == Verdict::advance);
     assert(rehearsal.differences().votes_on == 0);
-    bench.news(2, 1, Phase::on_trial, 1);
+    bench.update_rollout(2, 1, Phase::on_trial, 1);
     assert(rehearsal.differences().votes_on == 1 && rehearsal.differences().votes_back == 0);
 }
 
--- a/tests/release/cells_test.cpp
+++ b/tests/release/cells_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 DeploymentConfig config_with_cells() {
-    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+    DeploymentConfig given = deployment_config(RepeatPolicy::idempotent);
     given.default_cell_share = 0;
     given.rollout.stage_shares = {1, 1};
     given.rollout.stage_caps = {1, 1};
@@ -21,21 +21,21 @@
 }
 
 // One host of the released build, one of the build on trial, and RPCs by cell.
-struct CellFixture : Bench {
-    explicit CellFixture(DeploymentConfig given = config_with_cells()) : Bench(std::move(given)) {
-        host("old", 1);
-        host("new", 2);
-        news(2, 1, Phase::on_trial, 1);
+struct CellFixture : DecisionFixture {
+    explicit CellFixture(DeploymentConfig given = config_with_cells()) : DecisionFixture(std::move(given)) {
+        add_host("old", 1);
+        add_host("new", 2);
+        update_rollout(2, 1, Phase::on_trial, 1);
     }
     // Sends RPCs of a cell, `interval` ticks apart, and returns how many of their picks went to the build on
     // trial.
     int picks_on_trial(int rpcs, int cell, Ticks interval = 10) {
         int on_trial = 0;
         for (int i = 0; i < rpcs; ++i) {
-            at(clock + interval);
-            const std::string id = std::to_string(next++) + "c";
-            router->rpc_arrived({id, 0, 0, "", clock + 9000, false, cell});
-            const auto picks = pull(Action::pick);
+            set_time(now + interval);
+            const std::string id = std::to_string(next_id++) + "c";
+            router->rpc_arrived({id, 0, 0, "", now + 9000, false, cell});
+            const auto picks = take_decisions(Action::pick);
             for (std::size_t pick = 0; pick < picks.size(); ++pick) {
                 on_trial += picks[pick].host == "new";
                 router->pick_ended(id, static_cast<int>(pick), Outcome::ok, 100, true, {});
@@ -65,7 +65,7 @@
     DeploymentConfig given = config_with_cells();
     given.rollout.picks_above_cap = 0;
     CellFixture fixture(given);
-    fixture.news(2, 1, Phase::on_trial, 0.1);
+    fixture.update_rollout(2, 1, Phase::on_trial, 0.1);
     fixture.router->set_cell_share(2, -1, 1);
     assert(fixture.picks_on_trial(200, 0) <= 20);
 }
@@ -85,7 +85,7 @@
     CellFixture fixture;
     fixture.router->set_cell_share(2, 0, 0.25);
     fixture.picks_on_trial(40, 0);
-    fixture.at(fixture.clock + 600000);
+    fixture.set_time(fixture.now + 600000);
     assert(fixture.picks_on_trial(3, 0, 0) == 0); // a quarter of three RPCs allows no pick
     assert(fixture.picks_on_trial(97, 0, 0) <= 25);
 }
@@ -97,10 +97,10 @@
     CellFixture fixture(given);
     fixture.router->set_cell_share(2, 0, 1);
     const auto picked_host = [&] {
-        fixture.at(fixture.clock + 10);
-        const std::string id = std::to_string(fixture.next++) + "k";
-        fixture.router->rpc_arrived({id, 0, 0, "key", fixture.clock + 9000, false, 0});
-        const auto picks = fixture.pull(Action::pick);
+        fixture.set_time(fixture.now + 10);
+        const std::string id = std::to_string(fixture.next_id++) + "k";
+        fixture.router->rpc_arrived({id, 0, 0, "key", fixture.now + 9000, false, 0});
+        const auto picks = fixture.take_decisions(Action::pick);
         if (!picks.empty()) fixture.router->pick_ended(id, 0, Outcome::ok, 100, true, {});
         return picks.empty() ? std::string() : picks[0].host;
     };
@@ -121,22 +121,22 @@
 void a_plan_that_allows_everything_changes_no_decision() {
     std::vector<std::string> decisions[2];
     for (const int plan : {0, 1}) {
-        DeploymentConfig given = terms(RepeatPolicy::idempotent);
+        DeploymentConfig given = deployment_config(RepeatPolicy::idempotent);
         given.default_cell_share = plan ? 0 : 1;
-        Bench bench(given);
-        for (int i = 0; i < 6; ++i) bench.host("h" + std::to_string(i), 1 + i % 2);
-        bench.news(2, 0, Phase::on_trial, 0.3);
+        DecisionFixture bench(given);
+        for (int i = 0; i < 6; ++i) bench.add_host("h" + std::to_string(i), 1 + i % 2);
+        bench.update_rollout(2, 0, Phase::on_trial, 0.3);
         if (plan) bench.router->set_cell_share(2, -1, 1);
         Pcg32 random{99};
         for (int i = 0; i < 4000; ++i) {
-            bench.at(bench.clock + 1 + random.draw() % 60);
-            if (i == 1500) bench.news(2, 1, Phase::on_trial, 1);
-            if (i == 3000) bench.news(2, 1, Phase::withdrawn, 0);
+            bench.set_time(bench.now + 1 + random.draw() % 60);
+            if (i == 1500) bench.update_rollout(2, 1, Phase::on_trial, 1);
+            if (i == 3000) bench.update_rollout(2, 1, Phase::withdrawn, 0);
             const std::string id = std::to_string(i);
-            bench.arrive(id, bench.clock + 3000,
-                         random.draw() % 3 ? "" : "k" + std::to_string(random.draw() % 50));
+            bench.send_rpc(id, bench.now + 3000,
+                           random.draw() % 3 ? "" : "k" + std::to_string(random.draw() % 50));
             int picks = 0;
-            for (const Decision &decision : bench.pull()) {
+            for (const Decision &decision : bench.take_decisions()) {
                 decisions[plan].push_back(std::to_string(int(decision.action)) + decision.rpc +
                                           decision.host + std::to_string(decision.duration) +
                                           std::to_string(int(decision.verdict)) + decision.text);
--- a/tests/shape_test.cpp
+++ b/tests/shape_test.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 DeploymentConfig many(int instances = 100, std::size_t methods = 2) {
-    DeploymentConfig given = terms(RepeatPolicy::idempotent);
+    DeploymentConfig given = deployment_config(RepeatPolicy::idempotent);
     given.instances = instances;
     given.methods.assign(methods, given.methods[0]);
     given.rollout.flag_share = 0;
@@ -25,9 +25,10 @@
     return given;
 }
 
-bool votes_back(Bench &bench) {
+bool votes_back(DecisionFixture &fixture) {
     bool back = false;
-    for (const Decision &vote : bench.pull(Action::vote)) back = back || vote.verdict == Verdict::roll_back;
+    for (const Decision &vote : fixture.take_decisions(Action::vote))
+        back = back || vote.verdict == Verdict::roll_back;
     return back;
 }
 
@@ -35,54 +36,54 @@
     int build, method, picks, failed;
     double latency = 0.1;
 };
-void period(Bench &bench, const std::vector<Row> &rows) {
-    bench.at(bench.clock + 20000);
+void period(DecisionFixture &fixture, const std::vector<Row> &rows) {
+    fixture.set_time(fixture.now + 20000);
     for (const Row &row : rows)
-        bench.router->add_platform_stats({row.build, row.method, row.picks, row.failed, 0, row.latency});
+        fixture.router->add_platform_stats({row.build, row.method, row.picks, row.failed, 0, row.latency});
 }
 
-Bench trial(const DeploymentConfig &given, int stage = 1) {
-    Bench bench(given);
+DecisionFixture trial(const DeploymentConfig &given, int stage = 1) {
+    DecisionFixture fixture(given);
     for (int i = 0; i < 8; ++i)
-        bench.host("o" + std::to_string(i), 1), bench.host("n" + std::to_string(i), 2);
-    bench.news(1, 3, Phase::released, 1);
-    bench.at(1000);
-    period(bench, {{1, 0, 50, 0}, {1, 1, 50, 0}});
-    bench.news(2, 0, Phase::on_trial, given.rollout.stage_caps[0]);
-    period(bench, {{1, 0, 50, 0}, {1, 1, 50, 0}});
-    bench.news(2, stage, Phase::on_trial, given.rollout.stage_caps[stage]);
-    return bench;
+        fixture.add_host("o" + std::to_string(i), 1), fixture.add_host("n" + std::to_string(i), 2);
+    fixture.update_rollout(1, 3, Phase::released, 1);
+    fixture.set_time(1000);
+    period(fixture, {{1, 0, 50, 0}, {1, 1, 50, 0}});
+    fixture.update_rollout(2, 0, Phase::on_trial, given.rollout.stage_caps[0]);
+    period(fixture, {{1, 0, 50, 0}, {1, 1, 50, 0}});
+    fixture.update_rollout(2, stage, Phase::on_trial, given.rollout.stage_caps[stage]);
+    return fixture;
 }
 
 // Three tallied picks of a rare method, all failed, while the other method's do not: that is the build. As
 // many failures of either method are its hosts', and of many routers nobody sends it back for so few.
 void one_method_failing_alone_is_the_build() {
     for (const bool alone : {true, false}) {
-        Bench bench = trial(many());
-        period(bench, {{1, 0, 50, 0}, {1, 1, 10, 0}, {2, 0, 12, alone ? 0 : 3}, {2, 1, 3, alone ? 3 : 0}});
-        bench.at(bench.clock + 1000);
-        assert(votes_back(bench) == alone);
+        DecisionFixture fixture = trial(many());
+        period(fixture, {{1, 0, 50, 0}, {1, 1, 10, 0}, {2, 0, 12, alone ? 0 : 3}, {2, 1, 3, alone ? 3 : 0}});
+        fixture.set_time(fixture.now + 1000);
+        assert(votes_back(fixture) == alone);
     }
 }
 
 // A method that the earlier build fails as much, as where it waits at every host, is not the build's.
 void a_method_failing_everywhere_is_not_the_build() {
-    Bench bench = trial(many());
-    period(bench, {{1, 0, 50, 0}, {1, 1, 20, 18}, {2, 0, 12, 0}, {2, 1, 4, 4}});
-    bench.at(bench.clock + 1000);
-    assert(!votes_back(bench));
+    DecisionFixture fixture = trial(many());
+    period(fixture, {{1, 0, 50, 0}, {1, 1, 20, 18}, {2, 0, 12, 0}, {2, 1, 4, 4}});
+    fixture.set_time(fixture.now + 1000);
+    assert(!votes_back(fixture));
 }
 
 // In the last stage the earlier build has no traffic to set failures against; hosts in trouble may fail a
 // few.
 void failures_without_a_control_need_more() {
     for (const int failed : {9, 40}) {
-        Bench bench = trial(many(), 3);
-        period(bench, {{1, 0, 50, 0}, {1, 1, 50, 0}, {2, 0, 6, 0}, {2, 1, 7, 0}});
+        DecisionFixture fixture = trial(many(), 3);
+        period(fixture, {{1, 0, 50, 0}, {1, 1, 50, 0}, {2, 0, 6, 0}, {2, 1, 7, 0}});
         for (int i = 0; i < 2; ++i)
-            period(bench, {{1, 0, 5, 0}, {2, 0, 50, failed / 2}, {2, 1, 50, failed / 2}});
-        bench.at(bench.clock + 1000);
-        assert(votes_back(bench) == (failed == 40));
+            period(fixture, {{1, 0, 5, 0}, {2, 0, 50, failed / 2}, {2, 1, 50, failed / 2}});
+        fixture.set_time(fixture.now + 1000);
+        assert(votes_back(fixture) == (failed == 40));
     }
 }
 
@@ -93,16 +94,16 @@
 // figures still speak.
 void idle_hosts_are_no_measure_of_latency() {
     for (const bool idle : {true, false}) {
-        Bench bench(many());
-        for (int i = 0; i < 8; ++i) bench.host("o" + std::to_string(i), 1);
-        for (int i = 0; i < (idle ? 8 : 3); ++i) bench.host("n" + std::to_string(i), 2);
-        bench.news(1, 3, Phase::released, 1);
-        bench.at(1000);
-        period(bench, {{1, 0, 200, 0}, {1, 1, 200, 0}});
-        bench.news(2, idle ? 3 : 2, Phase::on_trial, 1);
-        period(bench, {{1, 0, 200, 0}, {1, 1, 200, 0}, {2, 0, 200, 0, 0.27}, {2, 1, 200, 0, 0.27}});
-        bench.at(bench.clock + 1000);
-        assert(votes_back(bench) != idle);
+        DecisionFixture fixture(many());
+        for (int i = 0; i < 8; ++i) fixture.add_host("o" + std::to_string(i), 1);
+        for (int i = 0; i < (idle ? 8 : 3); ++i) fixture.add_host("n" + std::to_string(i), 2);
+        fixture.update_rollout(1, 3, Phase::released, 1);
+        fixture.set_time(1000);
+        period(fixture, {{1, 0, 200, 0}, {1, 1, 200, 0}});
+        fixture.update_rollout(2, idle ? 3 : 2, Phase::on_trial, 1);
+        period(fixture, {{1, 0, 200, 0}, {1, 1, 200, 0}, {2, 0, 200, 0, 0.27}, {2, 1, 200, 0, 0.27}});
+        fixture.set_time(fixture.now + 1000);
+        assert(votes_back(fixture) != idle);
     }
 }
 
@@ -113,24 +114,24 @@
     for (const int what : {slowed, busier, before}) {
         const double early = what == before ? 0.3 : 0.1;
         const int picks = what == busier ? 200 : 33;
-        Bench bench(many());
+        DecisionFixture fixture(many());
         for (int i = 0; i < 8; ++i)
-            bench.host("o" + std::to_string(i), 1), bench.host("n" + std::to_string(i), 2);
-        bench.news(1, 3, Phase::released, 1);
-        bench.at(1000);
-        period(bench, {{1, 0, 50, 0}, {1, 1, 50, 0}});
-        bench.news(2, 0, Phase::on_trial, 0.07);
+            fixture.add_host("o" + std::to_string(i), 1), fixture.add_host("n" + std::to_string(i), 2);
+        fixture.update_rollout(1, 3, Phase::released, 1);
+        fixture.set_time(1000);
+        period(fixture, {{1, 0, 50, 0}, {1, 1, 50, 0}});
+        fixture.update_rollout(2, 0, Phase::on_trial, 0.07);
         for (int i = 0; i < 2; ++i) {
-            period(bench, {{1, 0, 50, 0, early}, {1, 1, 50, 0, early}});
-            bench.at(bench.clock + 1000);
-            bench.pull();
+            period(fixture, {{1, 0, 50, 0, early}, {1, 1, 50, 0, early}});
+            fixture.set_time(fixture.now + 1000);
+            fixture.take_decisions();
         }
-        bench.news(2, 2, Phase::on_trial, 0.7);
+        fixture.update_rollout(2, 2, Phase::on_trial, 0.7);
         bool back = false;
         for (int i = 0; i < 3; ++i) {
-            period(bench, {{1, 0, picks, 0, 0.3}, {1, 1, picks, 0, 0.3}, {2, 0, picks, 0, 0.3}});
+            period(fixture, {{1, 0, picks, 0, 0.3}, {1, 1, picks, 0, 0.3}, {2, 0, picks, 0, 0.3}});
             for (int beat = 0; beat < 12; ++beat)
-                bench.at(bench.clock + 1000), back = votes_back(bench) || back;
+                fixture.set_time(fixture.now + 1000), back = votes_back(fixture) || back;
         }
         assert(back == (what == slowed));
     }
@@ -140,32 +141,33 @@
 void hosts_hardly_heard_of_are_no_witnesses() {
     for (const int outcomes : {1, 12}) {
         DeploymentConfig given = many();
-        Bench bench(given);
-        for (int i = 0; i < 60; ++i) bench.host("o" + std::to_string(i), 1);
-        for (int i = 0; i < 5; ++i) bench.host("n" + std::to_string(i), 2);
-        bench.news(1, 3, Phase::released, 1);
-        bench.news(2, 1, Phase::on_trial, 1);
+        DecisionFixture fixture(given);
+        for (int i = 0; i < 60; ++i) fixture.add_host("o" + std::to_string(i), 1);
+        for (int i = 0; i < 5; ++i) fixture.add_host("n" + std::to_string(i), 2);
+        fixture.update_rollout(1, 3, Phase::released, 1);
+        fixture.update_rollout(2, 1, Phase::on_trial, 1);
         // Each host of either build answers so often; those of the trial in vain for a while at the end.
         int next = 0;
         std::map<std::string, int> met;
         for (int tries = 0; tries < 6000; ++tries) {
-            bench.at(bench.clock + 10);
+            fixture.set_time(fixture.now + 10);
             const std::string id = std::to_string(next++) + "w";
-            bench.arrive(id, bench.clock + 9000);
-            const auto picks = bench.pull(Action::pick);
+            fixture.send_rpc(id, fixture.now + 9000);
+            const auto picks = fixture.take_decisions(Action::pick);
             for (std::size_t i = 0; i < picks.size(); ++i) {
                 const bool sick = picks[i].host[0] == 'n';
                 const bool wanted = met[picks[i].host] < outcomes;
                 met[picks[i].host] += wanted;
-                bench.router->pick_ended(id, int(i),
-                                         wanted && sick ? Outcome::error
-                                         : wanted       ? Outcome::ok
-                                                        : Outcome::cancelled,
-                                         100, true, {});
+                fixture.router->pick_ended(id, int(i),
+                                           wanted && sick ? Outcome::error
+                                           : wanted       ? Outcome::ok
+                                                          : Outcome::cancelled,
+                                           100, true, {});
             }
         }
         bool back = false;
-        for (int beat = 0; beat < 15; ++beat) bench.at(bench.clock + 1000), back = votes_back(bench) || back;
+        for (int beat = 0; beat < 15; ++beat)
+            fixture.set_time(fixture.now + 1000), back = votes_back(fixture) || back;
         assert(back == (outcomes == 12));
     }
 }
@@ -181,13 +183,13 @@
 // all others each round what it saw.
 void words_are_summed_by_a_few() {
     constexpr int kRouters = 60;
-    std::vector<Bench> routers;
+    std::vector<DecisionFixture> routers;
     for (int i = 0; i < kRouters; ++i) {
         routers.emplace_back(peers(kRouters, i));
         routers.back().router = make_router(peers(kRouters, i), 50 + i);
         routers.back().router->set_time(0);
-        routers.back().host("o", 1), routers.back().host("n", 2);
-        routers.back().news(2, 1, Phase::on_trial, 1);
+        routers.back().add_host("o", 1), routers.back().add_host("n", 2);
+        routers.back().update_rollout(2, 1, Phase::on_trial, 1);
     }
     int single = 0, to_all = 0;
     double most = 0;
@@ -195,8 +197,9 @@
     for (Ticks now = 1000; now <= 31000; now += 1000) {
         std::vector<std::pair<int, Decision>> told;
         for (int i = 0; i < kRouters; ++i) {
-            routers[i].at(now);
-            for (const Decision &made : routers[i].pull(Action::send_summary)) told.emplace_back(i, made);
+            routers[i].set_time(now);
+            for (const Decision &made : routers[i].take_decisions(Action::send_summary))
+                told.emplace_back(i, made);
         }
         for (const auto &[from, made] : told) {
             assert(made.peer != from && made.peer < kRouters && made.text.size() <= TrialSummary::kMaxBytes);
@@ -220,10 +223,10 @@
 void a_sum_is_evidence_and_noise_is_not() {
     enum { sum, cut, longer, old_version, stranger, itself, too_many };
     for (const int what : {sum, cut, longer, old_version, stranger, itself, too_many}) {
-        Bench bench(peers(60, 5));
+        DecisionFixture fixture(peers(60, 5));
         for (int i = 0; i < 8; ++i)
-            bench.host("o" + std::to_string(i), 1), bench.host("n" + std::to_string(i), 2);
-        bench.news(2, 1, Phase::on_trial, 1);
+            fixture.add_host("o" + std::to_string(i), 1), fixture.add_host("n" + std::to_string(i), 2);
+        fixture.update_rollout(2, 1, Phase::on_trial, 1);
         TrialSummary word;
         word.build = 2, word.routers = what == too_many ? 61 : 50;
         word.trial.resize(2), word.earlier.resize(2);
@@ -233,10 +236,10 @@
         if (what == cut) bytes.pop_back();
         if (what == longer) bytes += std::string(300, 'x');
         if (what == old_version) bytes[0] = 1;
-        bench.at(1000);
-        bench.router->receive_summary(what == stranger ? 60 : what == itself ? 5 : 7, bytes);
-        bench.at(2000);
-        assert(votes_back(bench) == (what == sum));
+        fixture.set_time(1000);
+        fixture.router->receive_summary(what == stranger ? 60 : what == itself ? 5 : 7, bytes);
+        fixture.set_time(2000);
+        assert(votes_back(fixture) == (what == sum));
     }
 }
 
@@ -245,20 +248,20 @@
 void a_method_late_everywhere_is_mostly_pushed_back() {
     DeploymentConfig given = many();
     given.max_retry_after = 10000, given.advise_retry_after = true;
-    Bench bench(given);
-    for (int i = 0; i < 10; ++i) bench.host("o" + std::to_string(i), 1);
+    DecisionFixture fixture(given);
+    for (int i = 0; i < 10; ++i) fixture.add_host("o" + std::to_string(i), 1);
     int turned[2] = {0, 0}, asked[2] = {0, 0};
     for (int i = 0; i < 400; ++i) {
-        bench.at(bench.clock + 500);
+        fixture.set_time(fixture.now + 500);
         const std::string id = std::to_string(i) + "m";
         const int method = i % 2;
-        bench.router->rpc_arrived({id, method, 0, "", bench.clock + 40000, false});
-        const auto made = bench.pull();
+        fixture.router->rpc_arrived({id, method, 0, "", fixture.now + 40000, false});
+        const auto made = fixture.take_decisions();
         if (i >= 100) ++asked[method], turned[method] += count(made, Action::push_back) > 0;
         for (const Decision &d : made)
             if (d.action == Action::push_back) assert(d.duration > 0);
         if (count(made, Action::pick) > 0)
-            bench.router->pick_ended(id, 0, Outcome::ok, method ? 6000 : 400, true, {});
+            fixture.router->pick_ended(id, 0, Outcome::ok, method ? 6000 : 400, true, {});
     }
     assert(turned[1] > asked[1] * 0.6 && turned[1] < asked[1]);
     assert(turned[0] < asked[0] * 0.1);
@@ -268,22 +271,22 @@
 void standing_connections_carry_the_picks_in_a_squeeze() {
     DeploymentConfig given = many();
     given.keepalive = 300000;
-    Bench bench(given);
-    for (int i = 0; i < 30; ++i) bench.host("o" + std::to_string(i), 1);
+    DecisionFixture fixture(given);
+    for (int i = 0; i < 30; ++i) fixture.add_host("o" + std::to_string(i), 1);
     std::set<std::string> met;
     int refused = 0, asked = 0;
     for (int i = 0; i < 600; ++i) {
-        bench.at(bench.clock + 5000);
+        fixture.set_time(fixture.now + 5000);
         const std::string id = std::to_string(i) + "q";
-        bench.arrive(id, bench.clock + 9000);
-        auto picks = bench.pull(Action::pick);
+        fixture.send_rpc(id, fixture.now + 9000);
+        auto picks = fixture.take_decisions(Action::pick);
         for (int pick = 0; !picks.empty(); ++pick) {
             const std::string host = picks[0].host;
             const bool open = met.count(host) > 0 || met.size() < 3; // the fourth connection is refused
             if (open) met.insert(host);
             ++asked, refused += !open;
-            bench.router->pick_ended(id, pick, open ? Outcome::ok : Outcome::connect_failed, 100, open, {});
-            picks = open ? std::vector<Decision>{} : bench.pull(Action::pick);
+            fixture.router->pick_ended(id, pick, open ? Outcome::ok : Outcome::connect_failed, 100, open, {});
+            picks = open ? std::vector<Decision>{} : fixture.take_decisions(Action::pick);
         }
     }
     assert(asked >= 600 && refused < 60);
@@ -294,27 +297,27 @@
 void each_newer_build_holds_its_keys() {
     enum { unannounced, released, back };
     for (const int what : {unannounced, released, back}) {
-        DeploymentConfig given = terms(RepeatPolicy::idempotent);
+        DeploymentConfig given = deployment_config(RepeatPolicy::idempotent);
         given.rollout.sticky_keys = true;
-        Bench bench(given);
-        bench.news(what == unannounced ? 3 : 4, 1, what == unannounced ? Phase::withdrawn : Phase::on_trial,
-                   1);
-        bench.host("new", 4);
-        if (what == released) bench.host("old", 2), bench.news(4, 1, Phase::released, 1);
+        DecisionFixture fixture(given);
+        fixture.update_rollout(what == unannounced ? 3 : 4, 1,
+                               what == unannounced ? Phase::withdrawn : Phase::on_trial, 1);
+        fixture.add_host("new", 4);
+        if (what == released) fixture.add_host("old", 2), fixture.update_rollout(4, 1, Phase::released, 1);
         if (what == released)
-            bench.router->update_hosts({{"old", 0, 0, 0, 2, HostStatus::draining, 1, 0}}, false);
-        if (what == released) bench.host("older", 1);
-        bench.arrive("r", 10000, "k");
-        const auto first = bench.pull(Action::pick);
+            fixture.router->update_hosts({{"old", 0, 0, 0, 2, HostStatus::draining, 1, 0}}, false);
+        if (what == released) fixture.add_host("older", 1);
+        fixture.send_rpc("r", 10000, "k");
+        const auto first = fixture.take_decisions(Action::pick);
         assert(first.size() == 1);
-        bench.end("r", 0, Outcome::ok, true);
+        fixture.end_pick("r", 0, Outcome::ok, true);
         if (what != released || first[0].host == "new") {
-            if (what == back) bench.news(4, 1, Phase::rolling_back, 0);
-            bench.host("old", 2);
-            bench.drain("new");
-            if (what == released) bench.drain("older");
-            bench.arrive("s", 10000, "k");
-            assert(bench.pull(Action::pick).empty() == (what != back));
+            if (what == back) fixture.update_rollout(4, 1, Phase::rolling_back, 0);
+            fixture.add_host("old", 2);
+            fixture.drain_host("new");
+            if (what == released) fixture.drain_host("older");
+            fixture.send_rpc("s", 10000, "k");
+            assert(fixture.take_decisions(Action::pick).empty() == (what != back));
         }
     }
 }
@@ -322,19 +325,19 @@
 // A build was withdrawn and the next is on trial, while a late list still shows the withdrawn one's hosts as
 // ready: they drain, and get nothing.
 void hosts_of_a_withdrawn_build_get_nothing() {
-    Bench bench(terms(RepeatPolicy::idempotent));
-    bench.host("withdrawn", 2);
-    bench.news(2, 1, Phase::on_trial, 1);
-    bench.arrive("r", 10000);
-    assert(bench.pull(Action::pick).size() == 1);
-    bench.news(2, 1, Phase::rolling_back, 0);
-    bench.news(2, 1, Phase::withdrawn, 0);
-    bench.news(3, 0, Phase::on_trial, 0.1);
-    bench.arrive("s", 10000);
-    assert(bench.pull(Action::pick).empty());
-    bench.host("earlier", 1);
-    bench.arrive("t", 10000);
-    const auto picks = bench.pull(Action::pick);
+    DecisionFixture fixture(deployment_config(RepeatPolicy::idempotent));
+    fixture.add_host("withdrawn", 2);
+    fixture.update_rollout(2, 1, Phase::on_trial, 1);
+    fixture.send_rpc("r", 10000);
+    assert(fixture.take_decisions(Action::pick).size() == 1);
+    fixture.update_rollout(2, 1, Phase::rolling_back, 0);
+    fixture.update_rollout(2, 1, Phase::withdrawn, 0);
+    fixture.update_rollout(3, 0, Phase::on_trial, 0.1);
+    fixture.send_rpc("s", 10000);
+    assert(fixture.take_decisions(Action::pick).empty());
+    fixture.add_host("earlier", 1);
+    fixture.send_rpc("t", 10000);
+    const auto picks = fixture.take_decisions(Action::pick);
     assert(picks.size() == 1 && picks[0].host == "earlier");
 }
 
@@ -347,30 +350,30 @@
     given.warm_up_time = 50000;
     int sent = 0;
     for (int router = 0; router < kRouters; ++router) {
-        Bench bench(given);
-        bench.router = make_router(given, router);
-        for (int i = 0; i < kHosts; ++i) bench.host("w" + std::to_string(i), 1);
+        DecisionFixture fixture(given);
+        fixture.router = make_router(given, router);
+        for (int i = 0; i < kHosts; ++i) fixture.add_host("w" + std::to_string(i), 1);
         int next = 0;
         const auto second = [&](int rpcs, bool served) {
             for (int i = 0; i < rpcs; ++i) {
-                bench.at(bench.clock + 10000 / rpcs);
+                fixture.set_time(fixture.now + 10000 / rpcs);
                 const std::string id = std::to_string(next++) + "c";
-                bench.arrive(id, bench.clock + 9000);
+                fixture.send_rpc(id, fixture.now + 9000);
                 int pick = 0;
-                for (auto picks = bench.pull(Action::pick); !picks.empty();
-                     picks = bench.pull(Action::pick)) {
+                for (auto picks = fixture.take_decisions(Action::pick); !picks.empty();
+                     picks = fixture.take_decisions(Action::pick)) {
                     sent += picks[0].host[0] == 'c';
-                    bench.router->pick_ended(id, pick++, served ? Outcome::ok : Outcome::error, 800, served,
-                                             {});
+                    fixture.router->pick_ended(id, pick++, served ? Outcome::ok : Outcome::error, 800, served,
+                                               {});
                 }
             }
         };
         for (int s = 0; s < 30; ++s) second(1, true);
         for (int i = 0; i < kHosts; ++i)
-            bench.router->update_hosts({{"w" + std::to_string(i), 0, 0, 0, 1, HostStatus::gone, 1, 0}},
-                                       false);
+            fixture.router->update_hosts({{"w" + std::to_string(i), 0, 0, 0, 1, HostStatus::gone, 1, 0}},
+                                         false);
         for (int s = 0; s < 10; ++s) second(8, true);
-        for (int i = 0; i < kCold; ++i) bench.host("c" + std::to_string(i), 1, bench.clock);
+        for (int i = 0; i < kCold; ++i) fixture.add_host("c" + std::to_string(i), 1, fixture.now);
         for (int s = 0; s < 4; ++s) second(8, false);
     }
     // One a second for each host was 0.6 of what it can do. Over four seconds one that starts at 0.41 and is
