--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -140,7 +140,7 @@
 }
 
 // A good build was rolled back for picks that its full hosts had turned away, since platform stats count such
-// picks as failures: the trial's first hosts are few and cold, and the picks of a whole fleet crowd there. In
+// picks as failures: the trial's first hosts are few and cold, and a whole fleet sends picks there. In
 // a simulated run, scenario calm+mass, seed 70340217494, 294 routers voted to roll back good build 198 for 12
 // failures in 411 sampled picks; of the fleet's picks 30 had been turned away and 3 had failed (sampling rate
 // 0.4):
--- a/tests/kept_keys_test.cpp
+++ b/tests/kept_keys_test.cpp
@@ -4,7 +4,7 @@
 // The failure: an RPC is sent to a host of the trial, which answers, but the answer does not arrive. 0.7 s
 // later the RPC is retried at a host of the earlier build, because only an answer that the router had read
 // made the newer build hold its key. In a simulated run (tape-library, split+mass, seed 756056188025) this
-// broke the rule first at 22.750 s of the run, 26.524 s of the log; no other pick at build 750 fits that
+// first happened at 22.750 s of the run, 26.524 s of the log; no other pick at build 750 fits that
 // time:
 //
 //     25.813 n122 PICK 57d64725902095f5 pick 0 at s-6056857f build 751 key 000485654a3021d5
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -329,7 +329,7 @@
         assert(vote.verdict == Verdict::roll_back);
 }
 
-// Failures at one of several trial hosts are due to that host, so the router does not vote to roll back.
+// Failures at only one of several trial hosts are due to that host, so the router does not vote to roll back.
 void failures_of_one_host_do_not_roll_back() {
     DecisionFixture fixture(idempotent_config());
     for (const char *id : {"n1", "n2", "n3", "n4"}) fixture.add_host(id, 2);
