--- a/bench/release_back.cpp
+++ b/bench/release_back.cpp
@@ -25,13 +25,13 @@
     for (int i = 0; i < 3; ++i) trial.push_back(&town.host("new" + std::to_string(i), "north", 2, 60));
     town.platform.build = 2, town.platform.phase = "Progressing";
     town.write_files();
-    router::Start start =
-        router::read_start_file((town.folder / "config.json").string(), [](const char *) { return nullptr; });
-    router::take_wishes(start, read_settings_file((town.folder / "settings.xml").string()));
+    router::RouterConfig router_config = router::read_config_file((town.folder / "config.json").string(),
+                                                                  [](const char *) { return nullptr; });
+    router::apply_settings(router_config, read_settings_file((town.folder / "settings.xml").string()));
     std::ostringstream logged;
     const Log log(logged, "n1", Level::info);
     router::Service service(
-        io, "", [](const char *) { return nullptr; }, start, log, [] {});
+        io, "", [](const char *) { return nullptr; }, router_config, log, [] {});
     using Clock = std::chrono::steady_clock;
     const auto until = [&](const std::function<bool()> &held, double seconds) {
         const auto end = Clock::now() +
--- a/src/cli/check.cpp
+++ b/src/cli/check.cpp
@@ -1,6 +1,6 @@
 // `check`: reads the configuration and the settings and reports whether a router can start with them.
 #include "cli/commands.hpp"
-#include "router/start.hpp"
+#include "router/config.hpp"
 #include "settings/read.hpp"
 
 #include <cstdlib>
@@ -39,16 +39,16 @@
             std::cout << '\n';
         }
         if (config_option->empty()) return 0;
-        const router::Start start =
-            router::read_start_file(options->config_file, [](const char *name) { return std::getenv(name); });
-        if (settings && settings->release) router::check_fits(start, *settings->release);
-        if (settings && settings->admission) router::check_fits(start, *settings->admission);
+        const router::RouterConfig router_config = router::read_config_file(
+            options->config_file, [](const char *name) { return std::getenv(name); });
+        if (settings && settings->release) router::check_compatible(router_config, *settings->release);
+        if (settings && settings->admission) router::check_compatible(router_config, *settings->admission);
         if (settings && !settings->rehearsal.empty()) {
-            router::read_rehearsed(start, settings->rehearsal);
+            router::read_rehearsed_deployment(router_config, settings->rehearsal);
             std::cout << "sound: " << settings->rehearsal << ", to be rehearsed\n";
         }
-        std::cout << "sound: " << start.name << ", methods " << start.names.methods.size() << ", descriptors "
-                  << start.limits.descriptors << '\n';
+        std::cout << "sound: " << router_config.name << ", methods " << router_config.names.methods.size()
+                  << ", descriptors " << router_config.limits.descriptors << '\n';
         return 0;
     };
 }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -20,14 +20,15 @@
 
 int run(const Options &options) {
     const router::Environment environment = [](const char *name) { return std::getenv(name); };
-    router::Start start = router::read_start_file(options.config_file, environment);
+    router::RouterConfig router_config = router::read_config_file(options.config_file, environment);
     if (!options.settings_file.empty()) {
-        start.wishes_again = [file = options.settings_file] { return load_settings_file(file); };
-        router::take_wishes(start, start.wishes_again());
+        router_config.reload_settings = [file = options.settings_file] { return load_settings_file(file); };
+        router::apply_settings(router_config, router_config.reload_settings());
     }
-    const Log log(std::cerr, start.name, options.level, options.format);
+    const Log log(std::cerr, router_config.name, options.level, options.format);
     boost::asio::io_context io(1);
-    const router::Service service(io, options.config_file, environment, start, log, [&] { io.stop(); });
+    const router::Service service(io, options.config_file, environment, router_config, log,
+                                  [&] { io.stop(); });
     io.run();
     log(Level::info, "left");
     return 0;
--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -36,7 +36,7 @@
   public:
     Connection(Clients &clients, asio::ip::tcp::socket socket, bool behind_proxy)
         : clients_(clients), socket_(std::move(socket)), resume_timer_(socket_.get_executor()),
-          linger_timer_(socket_.get_executor()), session_(clients.start_.limits),
+          linger_timer_(socket_.get_executor()), session_(clients.config_.limits),
           last_activity_(Clock::now()), awaits_proxy_header_(behind_proxy) {
         limiter_entry_.owner = this;
     }
@@ -54,7 +54,7 @@
 
     asio::awaitable<void> serve() {
         const auto self = shared_from_this();
-        const Limits &limits = clients_.start_.limits;
+        const Limits &limits = clients_.config_.limits;
         while (!closed_) {
             const bool pause_for_memory = session_.has_pending_replies() && clients_.is_short_of_memory();
             if (pause_for_memory || !may_read()) {
@@ -122,7 +122,7 @@
     // True where the client has been inactive for too long: it does not read its replies, does not
     // complete a command or its PROXY header, or has not sent a first byte.
     bool is_stalled(Clock::time_point now) const {
-        const Limits &limits = clients_.start_.limits;
+        const Limits &limits = clients_.config_.limits;
         const AdmissionSettings *const rules = clients_.admission_rules_.get();
         const auto configured_or = [&](Ticks AdmissionSettings::*duration, Milliseconds default_duration) {
             return rules ? Milliseconds(rules->*duration / 10) : default_duration;
@@ -168,7 +168,7 @@
     enum class ReadResult { none, some, closed };
 
     bool may_read() const {
-        return discards_input_ ? discarded_bytes_ <= clients_.start_.limits.max_discarded_bytes
+        return discards_input_ ? discarded_bytes_ <= clients_.config_.limits.max_discarded_bytes
                                : session_.accepts_input();
     }
 
@@ -265,7 +265,7 @@
             return session_.set_reply(slot, "-ERR unknown command\r\n");
         try {
             const Request request =
-                parse_request(arguments, clients_.start_.names, clients_.start_.limits.max_argument_bytes);
+                parse_request(arguments, clients_.config_.names, clients_.config_.limits.max_argument_bytes);
             unanswered_rpcs_.emplace_back(slot, request.id);
             if (admitted_) clients_.connection_limiter_->rpc_started(limiter_entry_);
             clients_.last_rpc_at_ = Clock::now();
@@ -316,7 +316,7 @@
         if (std::exchange(lingering_, true)) return;
         boost::system::error_code ignored;
         socket_.shutdown(asio::socket_base::shutdown_send, ignored);
-        linger_timer_.expires_after(clients_.start_.limits.close_linger);
+        linger_timer_.expires_after(clients_.config_.limits.close_linger);
         linger_timer_.async_wait([self = shared_from_this()](boost::system::error_code failed) {
             if (!failed) self->close();
         });
@@ -359,11 +359,11 @@
     std::size_t discarded_bytes_ = 0; // since discards_input_ was set
 };
 
-Clients::Clients(asio::io_context &io, const Start &start, const Log &log,
+Clients::Clients(asio::io_context &io, const RouterConfig &config, const Log &log,
                  admission::DescriptorBudget &descriptor_budget, RequestHandler &handler)
-    : io_(io), start_(start), log_(log), descriptor_budget_(descriptor_budget), handler_(handler),
-      acceptor_(io), read_buffer_(start.limits.read_chunk_bytes), accept_timer_(io) {
-    set_admission_rules(start.entrance);
+    : io_(io), config_(config), log_(log), descriptor_budget_(descriptor_budget), handler_(handler),
+      acceptor_(io), read_buffer_(config.limits.read_chunk_bytes), accept_timer_(io) {
+    set_admission_rules(config.admission);
 }
 
 Ticks Clients::now_ticks() {
@@ -381,7 +381,7 @@
     } else if (connection_limiter_) {
         connection_limiter_->set_rules(*admission_rules_);
     } else {
-        connection_limiter_.emplace(*admission_rules_, start_.limits.client_connections, start_.seed);
+        connection_limiter_.emplace(*admission_rules_, config_.limits.client_connections, config_.seed);
     }
 }
 
@@ -396,7 +396,7 @@
 std::string Clients::rejection_reply(const std::vector<std::string_view> &arguments,
                                      Ticks retry_after) const {
     if (arguments[0] == "PING") return "+PONG\r\n";
-    return clients::busy_reply(permitted_retry_after(start_.terms, retry_after));
+    return clients::busy_reply(permitted_retry_after(config_.deployment, retry_after));
 }
 
 // Where memory is short, closes connections without pending replies, those with the largest buffers first.
@@ -417,12 +417,12 @@
 void Clients::listen() {
     if (shutting_down_) return;
     if (acceptor_.is_open()) acceptor_.close();
-    acceptor_.open(start_.listen.protocol());
+    acceptor_.open(config_.listen.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
     // A connection takes a descriptor only once its first bytes have arrived, so that clients which connect
     // and send nothing do not use up the descriptors.
-    acceptor_.set_option(DeferAccept(static_cast<int>(start_.limits.command_timeout.count() / 1000)));
-    acceptor_.bind(start_.listen);
+    acceptor_.set_option(DeferAccept(static_cast<int>(config_.limits.command_timeout.count() / 1000)));
+    acceptor_.bind(config_.listen);
     acceptor_.listen(asio::socket_base::max_listen_connections);
     asio::co_spawn(io_, accept(), detached);
     asio::co_spawn(
@@ -430,13 +430,13 @@
         [this]() -> asio::awaitable<void> {
             asio::steady_timer timer(io_);
             for (;;) {
-                timer.expires_after(start_.limits.sweep_interval);
+                timer.expires_after(config_.limits.sweep_interval);
                 co_await timer.async_wait(use_awaitable);
                 const auto now = Clock::now();
                 const std::vector<std::shared_ptr<Connection>> open(connections_.begin(), connections_.end());
                 for (const auto &connection : open) connection->close_if_stalled(now);
                 if (!connection_limiter_)
-                    close_idle_beyond(start_.limits.idle_eviction_threshold, connections_.size());
+                    close_idle_beyond(config_.limits.idle_eviction_threshold, connections_.size());
                 close_largest_buffers();
             }
         },
@@ -460,7 +460,7 @@
     // During shutdown every connection is accepted to be answered, so the budget may be used up here.
     connection->holds_descriptor = descriptor_budget_.acquire(admission::Purpose::clients);
     if (!connection_limiter_)
-        close_idle_beyond(start_.limits.idle_eviction_threshold, start_.limits.eviction_candidates);
+        close_idle_beyond(config_.limits.idle_eviction_threshold, config_.limits.eviction_candidates);
     asio::co_spawn(io_, connection->serve(), detached);
 }
 
@@ -468,7 +468,7 @@
 // queue. Otherwise a storm of connections would take the descriptors needed to reach hosts, nothing would be
 // answered, and clients would retry forever.
 asio::awaitable<void> Clients::accept() {
-    const Limits &limits = start_.limits;
+    const Limits &limits = config_.limits;
     boost::system::error_code failed;
     acceptor_.non_blocking(true, failed);
     while (acceptor_.is_open()) {
@@ -521,7 +521,7 @@
         return true;
     }
     asio::ip::tcp::socket socket(io_);
-    socket.assign(start_.listen.protocol(), descriptor, failed);
+    socket.assign(config_.listen.protocol(), descriptor, failed);
     if (failed)
         ::close(descriptor);
     else
@@ -533,17 +533,17 @@
 // examined, but every read for a while after a late one: only lateness makes the time that a client has left
 // differ from the timeout it sent.
 Milliseconds Clients::lateness(int socket, Clock::time_point now) {
-    if (now >= lateness_checks_until_ && ++read_count_ % start_.limits.lateness_sample_interval != 0)
+    if (now >= lateness_checks_until_ && ++read_count_ % config_.limits.lateness_sample_interval != 0)
         return Milliseconds(0);
     const Milliseconds lateness = socket_state(socket).since_last_receive;
-    if (lateness < start_.limits.min_lateness) return Milliseconds(0);
-    lateness_checks_until_ = now + start_.limits.lateness_watch_time;
+    if (lateness < config_.limits.min_lateness) return Milliseconds(0);
+    lateness_checks_until_ = now + config_.limits.lateness_watch_time;
     return lateness;
 }
 
 void Clients::log_full() {
     const auto now = Clock::now();
-    if (now < last_full_log_ + start_.limits.sweep_interval) return;
+    if (now < last_full_log_ + config_.limits.sweep_interval) return;
     last_full_log_ = now;
     log_(Level::info, "admission: connection limit reached, clients ", connections_.size(),
          ", abandoned connections closed ", abandoned_);
@@ -569,7 +569,7 @@
     for (auto next = idle_connections_.begin(); next != idle_connections_.end() && max_examined-- > 0;
          ++next) {
         Connection &connection = **next;
-        if (now - connection.last_activity() < start_.limits.min_idle_before_eviction)
+        if (now - connection.last_activity() < config_.limits.min_idle_before_eviction)
             break; // may be about to be used
         if (connection.has_sent_command()) candidates.push_back(connection.shared_from_this());
     }
@@ -597,7 +597,7 @@
 }
 
 asio::awaitable<void> Clients::run_shutdown(std::function<void()> done) {
-    const Limits &limits = start_.limits;
+    const Limits &limits = config_.limits;
     const auto started = Clock::now();
     last_rpc_at_ = started;
     asio::steady_timer timer(io_);
--- a/src/router/clients/clients.hpp
+++ b/src/router/clients/clients.hpp
@@ -43,7 +43,7 @@
 class Clients {
   public:
     // Holds references to all of the arguments, which have to outlive it.
-    Clients(asio::io_context &io, const Start &start, const Log &log,
+    Clients(asio::io_context &io, const RouterConfig &config, const Log &log,
             admission::DescriptorBudget &descriptor_budget, RequestHandler &handler);
 
     // Starts accepting. Throws boost::system::system_error where the address cannot be used.
@@ -79,11 +79,11 @@
     std::string rejection_reply(const std::vector<std::string_view> &arguments, Ticks retry_after) const;
     void close_largest_buffers();
     // Buffers of clients may hold a quarter of the memory.
-    bool is_short_of_memory() const { return total_buffered_bytes_ > start_.limits.memory_bytes / 4; }
+    bool is_short_of_memory() const { return total_buffered_bytes_ > config_.limits.memory_bytes / 4; }
     static Ticks now_ticks();
 
     asio::io_context &io_;
-    const Start &start_;
+    const RouterConfig &config_;
     const Log &log_;
     admission::DescriptorBudget &descriptor_budget_;
     RequestHandler &handler_;
--- a/src/router/clients/request.cpp
+++ b/src/router/clients/request.cpp
@@ -28,9 +28,9 @@
 
 void parse_field(std::string_view name, std::string_view value, const Names &names, Request &request) {
     if (name == "c") {
-        request.method = place_of(names.methods, std::string(value), "c");
+        request.method = index_of(names.methods, std::string(value), "c");
     } else if (name == "t") {
-        if (!names.tenants.empty()) request.tenant = place_of(names.tenants, std::string(value), "t");
+        if (!names.tenants.empty()) request.tenant = index_of(names.tenants, std::string(value), "t");
     } else if (name == "d") {
         request.timeout = ticks_from_seconds(parse_number(value, "d") / 1000);
         request.timeout_digits = value;
--- a/src/router/clients/request.hpp
+++ b/src/router/clients/request.hpp
@@ -1,7 +1,7 @@
 // Parses a client's command in place, and encodes it for a host with the time that remains of its timeout.
 #pragma once
 
-#include "router/start.hpp"
+#include "router/config.hpp"
 
 #include <array>
 #include <string_view>
--- a/src/router/hosts/hosts.cpp
+++ b/src/router/hosts/hosts.cpp
@@ -14,417 +14,440 @@
 
 } // namespace
 
-class Call : public std::enable_shared_from_this<Call> {
+// One pick from its decision to its end: it waits for a connection, sends the command and reads the answer.
+// Afterwards it returns the connection, if that can be used again.
+class Pick : public std::enable_shared_from_this<Pick> {
   public:
-    Call(Hosts &home, std::string id, std::shared_ptr<const clients::OwnedRequest> held, Ticks span,
-         std::optional<Clock::time_point> latest, Ended ended)
-        : home_(home), id_(std::move(id)), held_(std::move(held)),
-          until_(Clock::now() + std::chrono::microseconds(span * 100)), latest_(latest),
-          ended_(std::move(ended)), past_lease_(!home.lease_holds()), fuse_(home.io_.get_executor()),
-          handed_(home.io_) {
-        const auto at = home_.places_.find(id_);
-        process_ = at == home_.places_.end() ? 0 : at->second.process;
-        build_ = home_.build_of(id_);
-        if (home_.start_.terms.rollout.sticky_keys) kept_key_ = held_->request.key;
+    Pick(Hosts &owner, std::string id, std::shared_ptr<const clients::OwnedRequest> request, Ticks timeout,
+         std::optional<Clock::time_point> send_deadline, PickEndHandler on_end)
+        : owner_(owner), id_(std::move(id)), request_(std::move(request)),
+          deadline_(Clock::now() + std::chrono::microseconds(timeout * 100)), send_deadline_(send_deadline),
+          on_end_(std::move(on_end)), decided_past_lease_(!owner.lease_holds()),
+          deadline_timer_(owner.io_.get_executor()), wait_timer_(owner.io_) {
+        const auto found = owner_.hosts_.find(id_);
+        process_ = found == owner_.hosts_.end() ? 0 : found->second.process;
+        build_ = owner_.build_of(id_);
+        if (owner_.config_.deployment.rollout.sticky_keys) sticky_key_ = request_->request.key;
     }
 
     asio::awaitable<void> run() {
         const auto self = shared_from_this();
-        co_await asio::post(use_awaitable); // never ends within the call that sent it
-        Ending ending = co_await attempt();
-        home_.unsent_.erase(this);
-        if (sent_) home_.key_ended(kept_key_, build_);
-        fuse_.put_out();
-        if (cut_ && ending.outcome != Outcome::ok)
-            ending.outcome = sent_ ? Outcome::cancelled : Outcome::not_sent;
-        const bool reusable = ending.reusable && !cut_;
-        std::exchange(ended_, nullptr)(std::move(ending));
+        co_await asio::post(use_awaitable); // `on_end_` must not be called within Hosts::send
+        PickResult result = co_await attempt();
+        owner_.unsent_.erase(this);
+        if (sent_) owner_.record_key_ended(sticky_key_, build_);
+        deadline_timer_.put_out();
+        if (cancelled_ && result.outcome != Outcome::ok)
+            result.outcome = sent_ ? Outcome::cancelled : Outcome::not_sent;
+        const bool reusable = result.reusable && !cancelled_;
+        std::exchange(on_end_, nullptr)(std::move(result));
         if (!socket_) co_return;
-        // Stops a second copy of this answer, which comes a little later, from being read as the next RPC's.
+        // The host may send a second copy of the answer a little later: it must not be read as the answer to
+        // the next RPC.
         if (reusable) {
-            handed_.expires_after(home_.start_.limits.reuse_delay);
-            co_await handed_.async_wait(as_tuple(use_awaitable));
+            wait_timer_.expires_after(owner_.config_.limits.reuse_delay);
+            co_await wait_timer_.async_wait(as_tuple(use_awaitable));
         }
-        Hosts::Place *const place = here();
-        if (reusable && place && quiet(*socket_))
-            home_.hand_on(*place, std::move(socket_));
+        Hosts::HostState *const host = current_host();
+        if (reusable && host && quiet(*socket_))
+            owner_.return_connection(*host, std::move(socket_));
         else
-            home_.close(socket_);
+            owner_.close(socket_);
     }
 
-    void cut() {
-        if (!ended_) return;
-        cut_ = true;
+    void cancel() {
+        if (!on_end_) return;
+        cancelled_ = true;
         boost::system::error_code ignored;
         if (socket_) socket_->close(ignored);
-        handed_.cancel();
+        wait_timer_.cancel();
     }
-    // Its RPC is over. What never left ends here, also where the platform forbids to cancel what is on a
-    // host. Stops a pick that waits for a connection from being sent after its RPC's final answer.
+    // Ends the pick unless its command has been sent, as its RPC has had its final answer. This is allowed
+    // also where the platform forbids cancelling a pick that a host has received.
     void withdraw() {
-        if (!sent_) cut();
+        if (!sent_) cancel();
     }
-    bool has_left() const { return sent_; }
+    bool was_sent() const { return sent_; }
     const std::string &host() const { return id_; }
-    std::string_view key() const { return held_->request.key; }
+    std::string_view key() const { return request_->request.key; }
 
-    bool waits() const { return ended_ && !socket_ && !cut_ && !refused_; }
-    void take(std::unique_ptr<Socket> socket) {
+    bool is_waiting() const { return on_end_ && !socket_ && !cancelled_ && !connect_failed_; }
+    void assign_connection(std::unique_ptr<Socket> socket) {
         socket_ = std::move(socket);
-        handed_.cancel();
+        wait_timer_.cancel();
     }
-    void look_again() { handed_.cancel(); }
-    void refuse() {
-        refused_ = true;
-        handed_.cancel();
+    void recheck_host() { wait_timer_.cancel(); }
+    void fail_connect() {
+        connect_failed_ = true;
+        wait_timer_.cancel();
     }
 
   private:
-    // The host's place, while the process that the pick was meant for still stands and takes picks.
-    Hosts::Place *here() {
-        const auto at = home_.places_.find(id_);
-        if (at == home_.places_.end() || at->second.process != process_ || process_ == 0) return nullptr;
-        return &at->second;
+    // Returns the host, or null if it is no longer the process that the pick was decided for.
+    Hosts::HostState *current_host() {
+        const auto found = owner_.hosts_.find(id_);
+        if (found == owner_.hosts_.end() || found->second.process != process_ || process_ == 0)
+            return nullptr;
+        return &found->second;
     }
 
-    asio::awaitable<Ending> attempt() {
-        for (bool fresh = false;; fresh = true) {
-            Hosts::Place *const place = here();
-            // Drained, gone or another process since the pick was decided: nothing of it has been sent.
-            if (!place || !place->ready || cut_ || !home_.may_send(past_lease_))
-                co_return Ending{Outcome::not_sent};
-            if (!fresh) socket_ = home_.take_idle(*place, idle_);
+    // Sends the command and returns the result. If an idle connection turns out to be closed, it tries once
+    // more with a new connection.
+    asio::awaitable<PickResult> attempt() {
+        for (bool use_new = false;; use_new = true) {
+            Hosts::HostState *const host = current_host();
+            // Since the decision the host has been drained, removed or restarted, or the lease of the list
+            // has expired.
+            if (!host || !host->ready || cancelled_ || !owner_.may_send(decided_past_lease_))
+                co_return PickResult{Outcome::not_sent};
+            if (!use_new) socket_ = owner_.take_idle_connection(*host, idle_);
             if (!socket_) {
                 idle_.reset();
-                const auto until = std::min(until_, Clock::now() + home_.start_.limits.connect_timeout);
-                place->waiting.push_back(shared_from_this());
-                home_.dial_more(id_, *place);
-                handed_.expires_at(until);
-                co_await handed_.async_wait(as_tuple(use_awaitable));
-                if (Hosts::Place *const still = here(); still && !socket_)
-                    std::erase(still->waiting, shared_from_this());
+                const auto until = std::min(deadline_, Clock::now() + owner_.config_.limits.connect_timeout);
+                host->waiting.push_back(shared_from_this());
+                owner_.connect_more(id_, *host);
+                wait_timer_.expires_at(until);
+                co_await wait_timer_.async_wait(as_tuple(use_awaitable));
+                if (Hosts::HostState *const current = current_host(); current && !socket_)
+                    std::erase(current->waiting, shared_from_this());
                 if (!socket_)
-                    co_return Ending{refused_ || Clock::now() >= until ? Outcome::connect_failed
-                                                                       : Outcome::not_sent};
-                if (const Hosts::Place *still = here();
-                    !still || !still->ready || cut_ || !home_.may_send(past_lease_))
-                    co_return Ending{Outcome::not_sent, {}, {}, true};
+                    co_return PickResult{connect_failed_ || Clock::now() >= until ? Outcome::connect_failed
+                                                                                  : Outcome::not_sent};
+                if (const Hosts::HostState *current = current_host();
+                    !current || !current->ready || cancelled_ || !owner_.may_send(decided_past_lease_))
+                    co_return PickResult{Outcome::not_sent, {}, {}, true};
             }
-            if (latest_ && Clock::now() >= *latest_) co_return Ending{Outcome::not_sent, {}, {}, true};
-            // Sent meanwhile to a newer build, whose answer may be lost on its way: not to this one any more.
-            if (home_.is_out_above(kept_key_, build_)) co_return Ending{Outcome::not_sent, {}, {}, true};
-            fuse_.light(*socket_, until_);
+            if (send_deadline_ && Clock::now() >= *send_deadline_)
+                co_return PickResult{Outcome::not_sent, {}, {}, true};
+            // The key has been sent to a newer build meanwhile, which may have answered it.
+            if (owner_.is_open_at_newer_build(sticky_key_, build_))
+                co_return PickResult{Outcome::not_sent, {}, {}, true};
+            deadline_timer_.light(*socket_, deadline_);
             if (co_await write()) break;
-            if (fresh || cut_ || fuse_.blown()) co_return Ending{Outcome::connect_failed};
-            home_.close(socket_); // it had ended while idle, and nothing whole was written: once more
+            if (use_new || cancelled_ || deadline_timer_.blown())
+                co_return PickResult{Outcome::connect_failed};
+            owner_.close(socket_); // the host had closed it while idle; the command has not been sent in full
         }
         co_return co_await read();
     }
 
-    // True once the command's last byte is the kernel's; else it cannot have run. It is written at once, so
-    // that `sent_` is true from that byte on: a cut or a time-out in the same turn tells rightly what has
-    // left.
+    // Returns whether the whole command has been passed to the kernel; otherwise it cannot have been
+    // executed. The first write is synchronous, so that `sent_` is set in the same turn: a cancellation or
+    // time-out in that turn then reports correctly whether the command was sent.
     asio::awaitable<bool> write() {
-        const auto left = std::chrono::duration_cast<std::chrono::microseconds>(until_ - Clock::now());
-        clients::EncodedRequest words;
-        clients::encode_with_timeout(*held_, std::max<Ticks>(1, left.count() / 100), words);
+        const auto remaining =
+            std::chrono::duration_cast<std::chrono::microseconds>(deadline_ - Clock::now());
+        clients::EncodedRequest command;
+        clients::encode_with_timeout(*request_, std::max<Ticks>(1, remaining.count() / 100), command);
         std::array<asio::const_buffer, 5> buffers;
         std::size_t total = 0;
         for (std::size_t i = 0; i < buffers.size(); ++i) {
-            buffers[i] = asio::buffer(words.parts[i].data(), words.parts[i].size());
-            total += words.parts[i].size();
+            buffers[i] = asio::buffer(command.parts[i].data(), command.parts[i].size());
+            total += command.parts[i].size();
         }
         boost::system::error_code failed;
         socket_->non_blocking(true, failed);
         std::size_t written = socket_->write_some(buffers, failed);
-        std::string rest; // of a command that the kernel did not take whole
+        std::string rest; // the command, if the kernel did not accept all of it
         if (written < total && (!failed || failed == asio::error::would_block)) {
-            for (const std::string_view part : words.parts) rest += part;
+            for (const std::string_view part : command.parts) rest += part;
         }
         while (written < total && (!failed || failed == asio::error::would_block)) {
             std::tie(failed) = co_await socket_->async_wait(Socket::wait_write, as_tuple(use_awaitable));
-            if (failed || cut_ || (latest_ && Clock::now() >= *latest_)) break;
+            if (failed || cancelled_ || (send_deadline_ && Clock::now() >= *send_deadline_)) break;
             written += socket_->write_some(asio::buffer(rest) + written, failed);
         }
         sent_ = written == total;
-        if (sent_) home_.unsent_.erase(this);
-        if (sent_) home_.key_sent(kept_key_, build_);
+        if (sent_) owner_.unsent_.erase(this);
+        if (sent_) owner_.record_key_sent(sticky_key_, build_);
         co_return sent_;
     }
 
-    asio::awaitable<Ending> read() {
-        Exchange exchange(home_.start_.limits, home_.start_.names.report_fields);
-        std::vector<char> room(home_.start_.limits.first_read_bytes);
+    asio::awaitable<PickResult> read() {
+        AnswerParser parser(owner_.config_.limits, owner_.config_.names.report_fields);
+        std::vector<char> buffer(owner_.config_.limits.first_read_bytes);
         for (;;) {
             const auto [failed, size] =
-                co_await socket_->async_read_some(asio::buffer(room), as_tuple(use_awaitable));
-            if (!cut_ && !fuse_.blown()) note_end(failed && !exchange.begun());
-            if (failed) co_return Ending{fuse_.blown() ? Outcome::timed_out : Outcome::connection_lost};
-            if (auto ending = exchange.feed({room.data(), size})) co_return std::move(*ending);
+                co_await socket_->async_read_some(asio::buffer(buffer), as_tuple(use_awaitable));
+            if (!cancelled_ && !deadline_timer_.blown()) record_reuse_outcome(failed && !parser.has_input());
+            if (failed)
+                co_return PickResult{deadline_timer_.blown() ? Outcome::timed_out : Outcome::connection_lost};
+            if (auto result = parser.feed({buffer.data(), size})) co_return std::move(*result);
         }
     }
 
-    void note_end(bool broken) {
-        if (std::exchange(noted_, true)) return;
-        idle_ ? home_.trust_.note_kept(*idle_, broken) : home_.trust_.note_new(broken);
+    void record_reuse_outcome(bool broken) {
+        if (std::exchange(outcome_recorded_, true)) return;
+        idle_ ? owner_.reuse_policy_.record_reused(*idle_, broken) : owner_.reuse_policy_.record_new(broken);
     }
 
-    Hosts &home_;
+    Hosts &owner_;
     std::string id_;
-    std::shared_ptr<const clients::OwnedRequest> held_;
-    Clock::time_point until_;
-    std::optional<Clock::time_point> latest_; // to be sent
-    Ended ended_;
-    const bool past_lease_; // when it was decided
-    Fuse fuse_;
-    asio::steady_timer handed_; // ends early when a connection is at hand
+    std::shared_ptr<const clients::OwnedRequest> request_;
+    Clock::time_point deadline_;
+    std::optional<Clock::time_point> send_deadline_; // by which the command must be sent; none: no limit
+    PickEndHandler on_end_;
+    const bool decided_past_lease_; // the lease had expired when the pick was decided
+    Fuse deadline_timer_;
+    asio::steady_timer wait_timer_; // cancelled when there is a connection or a reason to look again
     std::unique_ptr<Socket> socket_;
-    std::uint64_t process_ = 0;
-    int build_ = -1; // of its host when it was decided
-    std::string kept_key_; // its key, where keys stay; else empty
-    std::optional<Milliseconds> idle_; // how long its connection had stood idle; none: a new one
-    bool noted_ = false, cut_ = false, sent_ = false, refused_ = false;
+    std::uint64_t process_ = 0; // of the host when the pick was decided; 0: not listed
+    int build_ = -1; // of the host when the pick was decided
+    std::string sticky_key_; // the key of the RPC if keys are sticky; else empty
+    std::optional<Milliseconds> idle_; // idle time of the connection before the pick; none: a new connection
+    bool outcome_recorded_ = false;
+    bool cancelled_ = false;
+    bool sent_ = false; // the whole command has been passed to the kernel
+    bool connect_failed_ = false;
 };
 
-Hosts::Hosts(asio::io_context &io, const Start &start, const Log &log, admission::DescriptorBudget &ledger)
-    : io_(io), start_(start), log_(log), ledger_(ledger), trust_(start.limits) {}
-
-void Hosts::put(const std::string &id, const Address &address, bool ready, Ticks started, int build) {
-    Place &place = places_[id];
-    if (place.process == 0 || place.address != address || place.started != started || place.build != build) {
-        drop_idle(place, 0);
-        place.process = ++processes_;
-        place.dialing = 0;
-        wake_waiting(place);
+Hosts::Hosts(asio::io_context &io, const RouterConfig &config, const Log &log,
+             admission::DescriptorBudget &descriptor_budget)
+    : io_(io), config_(config), log_(log), descriptor_budget_(descriptor_budget),
+      reuse_policy_(config.limits) {}
+
+void Hosts::update(const std::string &id, const Address &address, bool ready, Ticks started, int build) {
+    HostState &host = hosts_[id];
+    if (host.process == 0 || host.address != address || host.started != started || host.build != build) {
+        close_idle(host, 0);
+        host.process = ++process_count_;
+        host.connecting = 0;
+        wake_waiting_picks(host);
     }
-    if (place.ready && !ready) drain_until_ = Clock::now() + start_.limits.drain_time;
-    place.address = address;
-    place.started = started;
-    place.build = build;
-    place.ready = ready;
+    if (host.ready && !ready) drain_reserve_until_ = Clock::now() + config_.limits.drain_time;
+    host.address = address;
+    host.started = started;
+    host.build = build;
+    host.ready = ready;
     if (ready) return;
-    drop_idle(place, 0);
-    wake_waiting(place);
+    close_idle(host, 0);
+    wake_waiting_picks(host);
 }
 
 int Hosts::build_of(const std::string &id) const {
-    const auto at = places_.find(id);
-    return at == places_.end() ? -1 : at->second.build;
+    const auto at = hosts_.find(id);
+    return at == hosts_.end() ? -1 : at->second.build;
 }
 
 void Hosts::remove(const std::string &id) {
-    const auto at = places_.find(id);
-    if (at == places_.end()) return;
-    if (at->second.ready) drain_until_ = Clock::now() + start_.limits.drain_time;
-    drop_idle(at->second, 0);
-    wake_waiting(at->second);
-    places_.erase(at);
+    const auto at = hosts_.find(id);
+    if (at == hosts_.end()) return;
+    if (at->second.ready) drain_reserve_until_ = Clock::now() + config_.limits.drain_time;
+    close_idle(at->second, 0);
+    wake_waiting_picks(at->second);
+    hosts_.erase(at);
 }
 
-// Opens connections before the first clients come. Stops the first second's RPCs from each waiting for a
-// new one, while clients open ever more of theirs.
+// Opens connections before the first clients connect: otherwise each RPC of the first second would wait for a
+// new connection, while ever more clients connect.
 asio::awaitable<void> Hosts::warm_up() {
-    const auto until = Clock::now() + std::min(start_.limits.connect_timeout, start_.limits.warm_up_timeout);
-    const std::size_t wanted =
-        std::min(start_.limits.warm_connections,
-                 start_.limits.host_connections / 2 / std::max<std::size_t>(1, places_.size()));
-    for (auto &[id, place] : places_)
-        for (std::size_t i = 0; place.ready && i < wanted && take_descriptor(); ++i) {
-            ++place.dialing;
-            asio::co_spawn(io_, dial(id, place.process, place.address), asio::detached);
+    const auto until =
+        Clock::now() + std::min(config_.limits.connect_timeout, config_.limits.warm_up_timeout);
+    const std::size_t per_host =
+        std::min(config_.limits.warm_connections,
+                 config_.limits.host_connections / 2 / std::max<std::size_t>(1, hosts_.size()));
+    for (auto &[id, host] : hosts_)
+        for (std::size_t i = 0; host.ready && i < per_host && acquire_descriptor(); ++i) {
+            ++host.connecting;
+            asio::co_spawn(io_, connect(id, host.process, host.address), asio::detached);
         }
-    const auto dialing = [this] {
-        return std::any_of(places_.begin(), places_.end(),
-                           [](const auto &at) { return at.second.dialing > 0; });
+    const auto connecting = [this] {
+        return std::any_of(hosts_.begin(), hosts_.end(),
+                           [](const auto &entry) { return entry.second.connecting > 0; });
     };
     asio::steady_timer timer(io_);
-    while (dialing() && Clock::now() < until) {
+    while (connecting() && Clock::now() < until) {
         timer.expires_after(std::chrono::milliseconds(5));
         co_await timer.async_wait(use_awaitable);
     }
 }
 
-std::shared_ptr<Call> Hosts::send(const std::string &id, std::shared_ptr<const clients::OwnedRequest> held,
-                                  Ticks span, std::optional<Clock::time_point> latest, Ended ended) {
-    auto call = std::make_shared<Call>(*this, id, std::move(held), span, latest, std::move(ended));
-    unsent_.insert(call.get()); // from the decision on: its run begins a turn of the loop later
+std::shared_ptr<Pick> Hosts::send(const std::string &id, std::shared_ptr<const clients::OwnedRequest> request,
+                                  Ticks timeout, std::optional<Clock::time_point> send_deadline,
+                                  PickEndHandler on_end) {
+    auto pick =
+        std::make_shared<Pick>(*this, id, std::move(request), timeout, send_deadline, std::move(on_end));
+    unsent_.insert(pick.get()); // at once, as the coroutine starts in a later turn
     asio::co_spawn(
-        io_, [call] { return call->run(); }, asio::detached);
-    return call;
+        io_, [pick] { return pick->run(); }, asio::detached);
+    return pick;
 }
 
-void Hosts::cut(const std::shared_ptr<Call> &call) { call->cut(); }
-void Hosts::withdraw(const std::shared_ptr<Call> &call) { call->withdraw(); }
-bool Hosts::has_left(const std::shared_ptr<Call> &call) { return call->has_left(); }
-template <class Which> void Hosts::withdraw_if(const Which &which) {
-    std::vector<std::shared_ptr<Call>> found;
-    for (Call *call : unsent_)
-        if (which(*call)) found.push_back(call->shared_from_this());
-    for (const auto &call : found) call->withdraw();
+void Hosts::cancel(const std::shared_ptr<Pick> &pick) { pick->cancel(); }
+void Hosts::withdraw(const std::shared_ptr<Pick> &pick) { pick->withdraw(); }
+bool Hosts::was_sent(const std::shared_ptr<Pick> &pick) { return pick->was_sent(); }
+
+template <class Predicate> void Hosts::withdraw_if(const Predicate &predicate) {
+    std::vector<std::shared_ptr<Pick>> matching;
+    for (Pick *pick : unsent_)
+        if (predicate(*pick)) matching.push_back(pick->shared_from_this());
+    for (const auto &pick : matching) pick->withdraw();
 }
 
 void Hosts::withdraw_from(int build) {
-    withdraw_if([&](const Call &call) { return build_of(call.host()) == build; });
+    withdraw_if([&](const Pick &pick) { return build_of(pick.host()) == build; });
 }
 
-void Hosts::withdraw_key(std::string_view key, int below) {
-    withdraw_if([&](const Call &call) { return call.key() == key && build_of(call.host()) < below; });
+void Hosts::withdraw_key(std::string_view key, int build) {
+    withdraw_if([&](const Pick &pick) { return pick.key() == key && build_of(pick.host()) < build; });
 }
 
-bool Hosts::is_out_above(const std::string &key, int build) const {
-    const auto at = key.empty() ? keys_out_.end() : keys_out_.find(key);
-    return at != keys_out_.end() && at->second.upper_bound(build) != at->second.end();
+bool Hosts::is_open_at_newer_build(const std::string &key, int build) const {
+    const auto at = key.empty() ? open_keys_.end() : open_keys_.find(key);
+    return at != open_keys_.end() && at->second.upper_bound(build) != at->second.end();
 }
 
-void Hosts::key_sent(const std::string &key, int build) {
-    if (!key.empty()) ++keys_out_[key][build];
+void Hosts::record_key_sent(const std::string &key, int build) {
+    if (!key.empty()) ++open_keys_[key][build];
 }
 
-void Hosts::key_ended(const std::string &key, int build) {
-    const auto at = keys_out_.find(key);
-    if (at == keys_out_.end()) return;
+void Hosts::record_key_ended(const std::string &key, int build) {
+    const auto at = open_keys_.find(key);
+    if (at == open_keys_.end()) return;
     const auto count = at->second.find(build);
-    if (count == at->second.end()) return; // released meanwhile
+    if (count == at->second.end()) return; // by release_keys
     if (--count->second == 0) at->second.erase(count);
-    if (at->second.empty()) keys_out_.erase(at);
+    if (at->second.empty()) open_keys_.erase(at);
 }
 
 void Hosts::release_keys(int build) {
-    for (auto at = keys_out_.begin(); at != keys_out_.end();) {
+    for (auto at = open_keys_.begin(); at != open_keys_.end();) {
         at->second.erase(build);
-        at = at->second.empty() ? keys_out_.erase(at) : std::next(at);
+        at = at->second.empty() ? open_keys_.erase(at) : std::next(at);
     }
 }
 
-// The one used last of those that have been quiet for some while, else the one quiet longest. Stops a second
-// copy of an answer that comes some milliseconds late from being read as the next RPC's, where there is a
-// choice.
-std::unique_ptr<Socket> Hosts::take_idle(Place &place, std::optional<Milliseconds> &idle) {
-    while (!place.idle.empty()) {
+// Returns the most recently used connection that has been idle for `settle_long`, else the one that has been
+// idle longest. A second copy of an answer, which may arrive some milliseconds late, is then not read as the
+// answer to the next RPC where there is a choice.
+std::unique_ptr<Socket> Hosts::take_idle_connection(HostState &host, std::optional<Milliseconds> &idle_time) {
+    while (!host.idle.empty()) {
         const auto now = Clock::now();
-        const auto rested = [&](const Idle &one) {
-            return now - one.since >= start_.limits.preferred_reuse_delay;
+        const auto is_settled = [&](const IdleConnection &connection) {
+            return now - connection.since >= config_.limits.preferred_reuse_delay;
         };
-        const auto last = std::find_if(place.idle.rbegin(), place.idle.rend(), rested);
-        const auto at = last == place.idle.rend() ? place.idle.begin() : std::prev(last.base());
-        idle = std::chrono::floor<Milliseconds>(now - at->since);
-        if (!trust_.holds(*idle)) {
-            drop_idle(place, 0);
+        const auto settled = std::find_if(host.idle.rbegin(), host.idle.rend(), is_settled);
+        const auto chosen = settled == host.idle.rend() ? host.idle.begin() : std::prev(settled.base());
+        idle_time = std::chrono::floor<Milliseconds>(now - chosen->since);
+        if (!reuse_policy_.allows(*idle_time)) {
+            close_idle(host, 0);
             break;
         }
-        std::unique_ptr<Socket> socket = std::move(at->socket);
-        place.idle.erase(at);
-        --idle_;
+        std::unique_ptr<Socket> socket = std::move(chosen->socket);
+        host.idle.erase(chosen);
+        --idle_count_;
         if (quiet(*socket)) return socket;
         close(socket);
     }
-    idle.reset();
+    idle_time.reset();
     return nullptr;
 }
 
-// Dials for picks that wait, a few at a time: a connection that comes free serves them as well.
-void Hosts::dial_more(const std::string &id, Place &place) {
-    const Limits &limits = start_.limits;
-    const std::size_t waiting = place.waiting.size();
-    const std::size_t most =
+// Opens connections for waiting picks, a few at a time, as a connection that is returned serves them as well.
+void Hosts::connect_more(const std::string &id, HostState &host) {
+    const Limits &limits = config_.limits;
+    const std::size_t waiting = host.waiting.size();
+    const std::size_t max_connecting =
         std::min({waiting, limits.concurrent_connects + waiting / limits.picks_per_extra_connect,
                   limits.max_concurrent_connects});
-    while (place.dialing < most) {
-        if (!take_descriptor()) return;
-        ++place.dialing;
-        asio::co_spawn(io_, dial(id, place.process, place.address), asio::detached);
+    while (host.connecting < max_connecting) {
+        if (!acquire_descriptor()) return;
+        ++host.connecting;
+        asio::co_spawn(io_, connect(id, host.process, host.address), asio::detached);
     }
 }
 
-// While a host drains, its picks need connections to others at once: some are kept for that. Stops a drain in
-// a full house from ending in RPCs that reach nobody.
-bool Hosts::take_descriptor() {
+// While a host drains, its RPCs need connections to other hosts at once. Some descriptors are reserved for
+// that: without them a drain at full load would leave RPCs without any host.
+bool Hosts::acquire_descriptor() {
     using admission::Purpose;
-    if (ledger_.acquire(Purpose::hosts)) return true;
-    free_idle(idle_ / 2);
-    return ledger_.acquire(Purpose::hosts) ||
-           (Clock::now() < drain_until_ && ledger_.acquire(Purpose::drains));
+    if (descriptor_budget_.acquire(Purpose::hosts)) return true;
+    shrink_idle(idle_count_ / 2);
+    return descriptor_budget_.acquire(Purpose::hosts) ||
+           (Clock::now() < drain_reserve_until_ && descriptor_budget_.acquire(Purpose::drains));
 }
 
-asio::awaitable<void> Hosts::dial(std::string id, std::uint64_t process, Address address) {
+asio::awaitable<void> Hosts::connect(std::string id, std::uint64_t process, Address address) {
     auto socket = std::make_unique<Socket>(io_);
-    Fuse fuse(io_.get_executor());
-    fuse.light(*socket, start_.limits.connect_timeout);
+    Fuse connect_timer(io_.get_executor());
+    connect_timer.light(*socket, config_.limits.connect_timeout);
     const auto [failed] = co_await socket->async_connect(address, as_tuple(use_awaitable));
-    fuse.put_out();
+    connect_timer.put_out();
     boost::system::error_code ignored;
     if (!failed) socket->set_option(asio::ip::tcp::no_delay(true), ignored);
-    const auto at = places_.find(id);
-    const bool stands = at != places_.end() && at->second.process == process;
-    if (stands) --at->second.dialing;
-    if (failed == asio::error::no_descriptors) { // not the host's fault: what comes free must do
-        log_(Level::warning, "no descriptor to reach a host, connections ", open());
+    const auto found = hosts_.find(id);
+    const bool is_current = found != hosts_.end() && found->second.process == process;
+    if (is_current) --found->second.connecting;
+    if (failed == asio::error::no_descriptors) { // not the host's fault: picks wait for returned connections
+        log_(Level::warning, "no descriptor to connect to a host, connections ", open_connections());
         co_return close(socket);
     }
-    if (failed || fuse.blown() || !stands) {
+    if (failed || connect_timer.blown() || !is_current) {
         close(socket);
-        if (stands)
-            if (const auto call = first_waiting(at->second)) call->refuse();
+        if (is_current)
+            if (const auto pick = pop_waiting_pick(found->second)) pick->fail_connect();
     } else {
-        hand_on(at->second, std::move(socket));
+        return_connection(found->second, std::move(socket));
     }
-    if (stands) dial_more(id, at->second);
+    if (is_current) connect_more(id, found->second);
 }
 
-std::shared_ptr<Call> Hosts::first_waiting(Place &place) {
-    while (!place.waiting.empty()) {
-        const std::shared_ptr<Call> call = std::move(place.waiting.front());
-        place.waiting.pop_front();
-        if (call->waits()) return call;
+std::shared_ptr<Pick> Hosts::pop_waiting_pick(HostState &host) {
+    while (!host.waiting.empty()) {
+        const std::shared_ptr<Pick> pick = std::move(host.waiting.front());
+        host.waiting.pop_front();
+        if (pick->is_waiting()) return pick;
     }
     return nullptr;
 }
 
-// To the pick that has waited longest, else to the idle ones.
-void Hosts::hand_on(Place &place, std::unique_ptr<Socket> socket) {
-    if (const auto call = first_waiting(place)) return call->take(std::move(socket));
-    if (!place.ready) return close(socket); // nothing new goes there
-    place.idle.push_back({std::move(socket), Clock::now()});
-    ++idle_;
+// Passes the connection to the pick that has waited longest, else adds it to the idle ones.
+void Hosts::return_connection(HostState &host, std::unique_ptr<Socket> socket) {
+    if (const auto pick = pop_waiting_pick(host)) return pick->assign_connection(std::move(socket));
+    if (!host.ready) return close(socket); // the host is draining
+    host.idle.push_back({std::move(socket), Clock::now()});
+    ++idle_count_;
 }
 
-// Those that wait for a process that has gone, or takes no more, look again and find it so.
-void Hosts::wake_waiting(Place &place) {
-    for (const auto &call : std::exchange(place.waiting, {})) call->look_again();
+// Resumes the waiting picks, which then find that the host has been drained, removed or restarted.
+void Hosts::wake_waiting_picks(HostState &host) {
+    for (const auto &pick : std::exchange(host.waiting, {})) pick->recheck_host();
 }
 
 void Hosts::close(std::unique_ptr<Socket> &socket) {
     boost::system::error_code ignored;
     socket->close(ignored);
     socket.reset();
-    using admission::Purpose; // what drains took comes back first
-    ledger_.release(ledger_.in_use(Purpose::drains) > 0 ? Purpose::drains : Purpose::hosts);
+    using admission::Purpose;
+    // The descriptors reserved for drains are returned first.
+    descriptor_budget_.release(descriptor_budget_.in_use(Purpose::drains) > 0 ? Purpose::drains
+                                                                              : Purpose::hosts);
 }
 
-void Hosts::drop_idle(Place &place, std::size_t keep) {
-    for (; place.idle.size() > keep; place.idle.pop_front(), --idle_) close(place.idle.front().socket);
+void Hosts::close_idle(HostState &host, std::size_t keep) {
+    for (; host.idle.size() > keep; host.idle.pop_front(), --idle_count_) close(host.idle.front().socket);
 }
 
-// Closes connections well before the host would.
+// Closes connections after half of the time for which the host keeps them idle.
 void Hosts::sweep() {
-    trust_.fade();
+    reuse_policy_.decay();
     const auto now = Clock::now();
-    const auto old = [&](const Idle &idle) {
-        const Milliseconds span = std::chrono::floor<Milliseconds>(now - idle.since);
-        return span > start_.limits.idle_timeout / 2 || !trust_.holds(span);
+    const auto is_expired = [&](const IdleConnection &connection) {
+        const Milliseconds idle_time = std::chrono::floor<Milliseconds>(now - connection.since);
+        return idle_time > config_.limits.idle_timeout / 2 || !reuse_policy_.allows(idle_time);
     };
-    for (auto &[id, place] : places_)
-        for (; !place.idle.empty() && old(place.idle.front()); place.idle.pop_front(), --idle_)
-            close(place.idle.front().socket);
+    for (auto &[id, host] : hosts_)
+        for (; !host.idle.empty() && is_expired(host.idle.front()); host.idle.pop_front(), --idle_count_)
+            close(host.idle.front().socket);
 }
 
-void Hosts::free_idle(std::size_t most) {
-    for (auto &[id, place] : places_) {
-        if (idle_ <= most) return;
-        drop_idle(place, place.idle.size() / 2);
+void Hosts::shrink_idle(std::size_t max) {
+    for (auto &[id, host] : hosts_) {
+        if (idle_count_ <= max) return;
+        close_idle(host, host.idle.size() / 2);
     }
-    for (auto &[id, place] : places_)
-        if (idle_ > most) drop_idle(place, 0);
+    for (auto &[id, host] : hosts_)
+        if (idle_count_ > max) close_idle(host, 0);
 }
 
 } // namespace pineridge::router::hosts
--- a/src/router/hosts/hosts.hpp
+++ b/src/router/hosts/hosts.hpp
@@ -1,10 +1,11 @@
-// The driver of connections to hosts: one pick at a time on each, the most recently used first.
+// Connections to the hosts. Each connection carries one pick at a time; among the idle connections of a host
+// the most recently used one is preferred. All functions run on the thread of the io_context and none blocks.
 #pragma once
 
 #include "admission/descriptor_budget.hpp"
 #include "router/clients/request.hpp"
-#include "router/hosts/exchange.hpp"
-#include "router/hosts/trust.hpp"
+#include "router/hosts/answer_parser.hpp"
+#include "router/hosts/idle_reuse_policy.hpp"
 
 #include <boost/asio.hpp>
 
@@ -20,92 +21,100 @@
 namespace asio = boost::asio;
 using Clock = std::chrono::steady_clock;
 
-class Call; // one pick under way
-using Ended = std::function<void(Ending)>;
+class Pick; // a pick that has not ended
+using PickEndHandler = std::function<void(PickResult)>;
 
 class Hosts {
   public:
-    // Descriptors are taken from the ledger, which outlives this.
-    Hosts(asio::io_context &io, const Start &start, const Log &log, admission::DescriptorBudget &ledger);
+    // The connections' descriptors are taken from the budget, which must outlive this object.
+    Hosts(asio::io_context &io, const RouterConfig &config, const Log &log,
+          admission::DescriptorBudget &descriptor_budget);
 
-    // What the list says of a host; `started` and `build` tell one process at an address from the next.
-    void put(const std::string &id, const Address &address, bool ready, Ticks started, int build);
+    // Adds a host or updates its entry. A change of the address, `started` or `build` means that another
+    // process has replaced the former one.
+    void update(const std::string &id, const Address &address, bool ready, Ticks started, int build);
     void remove(const std::string &id);
 
-    // Sends the command; `ended` is called once, never from within this call. Past `latest` it is not sent
-    // any more.
-    std::shared_ptr<Call> send(const std::string &id, std::shared_ptr<const clients::OwnedRequest> held,
-                               Ticks span, std::optional<Clock::time_point> latest, Ended ended);
-    void cut(const std::shared_ptr<Call> &call);
-    void withdraw(const std::shared_ptr<Call> &call); // its RPC is over: ends it unless it is on its host
-    void withdraw_from(int build); // all that has yet to leave for its hosts
-    void withdraw_key(std::string_view key, int below); // and for those of builds below, with this key
-    void release_keys(int build); // it goes back: earlier builds may have the keys that it was sent
-    static bool has_left(const std::shared_ptr<Call> &call); // its last byte was written
+    // Sends the command to the host, unless that is not possible before `send_deadline`. `on_end` is called
+    // once, and never within this call.
+    std::shared_ptr<Pick> send(const std::string &id, std::shared_ptr<const clients::OwnedRequest> request,
+                               Ticks timeout, std::optional<Clock::time_point> send_deadline,
+                               PickEndHandler on_end);
+    void cancel(const std::shared_ptr<Pick> &pick);
+    // The functions that withdraw end picks only if their command has not been sent.
+    void withdraw(const std::shared_ptr<Pick> &pick);
+    void withdraw_from(int build); // all picks for hosts of the build
+    void withdraw_key(std::string_view key, int build); // all picks with the key for hosts of earlier builds
+    // The build is rolled back: the keys that it has been sent may be sent to earlier builds again.
+    void release_keys(int build);
+    static bool was_sent(const std::shared_ptr<Pick> &pick); // the whole command was written
 
-    // The lease on the list of hosts: past it nothing is sent; a pick ends as one whose host has gone does.
-    // Looked at again where the first byte is written, as a pick may have waited for a connection. A pick
-    // decided past the lease, in a presumed outage, may be sent while that is presumed.
-    void lease_until(Clock::time_point until, Clock::time_point outage_until) {
+    // Sets the lease of the host list. After it has expired no command is sent, and a pick ends as if its
+    // host had been removed. The lease is checked again before the first byte is written, as a pick may have
+    // waited for a connection. A pick that is decided after the lease, in a presumed outage of discovery, may
+    // be sent until `outage_until`.
+    void set_lease(Clock::time_point until, Clock::time_point outage_until) {
         lease_until_ = until;
         outage_until_ = outage_until;
     }
 
-    asio::awaitable<void> warm_up(); // returns once connections stand, or could not be had in time
-    void sweep();
-    void free_idle(std::size_t most); // closes idle connections beyond so many
-    std::size_t open() const {
-        return ledger_.in_use(admission::Purpose::hosts) + ledger_.in_use(admission::Purpose::drains);
+    asio::awaitable<void> warm_up(); // returns once the connections are open, or after a limited time
+    void sweep(); // closes idle connections that have expired; to be called periodically
+    void shrink_idle(std::size_t max); // closes idle connections beyond `max`
+    std::size_t open_connections() const {
+        return descriptor_budget_.in_use(admission::Purpose::hosts) +
+               descriptor_budget_.in_use(admission::Purpose::drains);
     }
     int build_of(const std::string &id) const; // below 0: not listed
 
   private:
-    friend class Call;
-    struct Idle {
+    friend class Pick;
+    struct IdleConnection {
         std::unique_ptr<asio::ip::tcp::socket> socket;
         Clock::time_point since;
     };
-    struct Place {
+    struct HostState {
         Address address;
         bool ready = false;
         Ticks started = 0;
         int build = 0;
-        std::uint64_t process = 0; // counts the processes seen at this id
-        std::deque<Idle> idle{};
-        std::deque<std::shared_ptr<Call>> waiting{};
-        std::size_t dialing = 0;
+        std::uint64_t process = 0; // number of the process; no two processes have the same
+        std::deque<IdleConnection> idle{};
+        std::deque<std::shared_ptr<Pick>> waiting{}; // for a connection
+        std::size_t connecting = 0; // connection attempts in progress
     };
 
     bool lease_holds() const { return Clock::now() <= lease_until_; }
     bool may_send(bool decided_past_lease) const {
         return lease_holds() || (decided_past_lease && Clock::now() <= outage_until_);
     }
-    std::unique_ptr<asio::ip::tcp::socket> take_idle(Place &place, std::optional<Milliseconds> &idle);
-    void dial_more(const std::string &id, Place &place);
-    asio::awaitable<void> dial(std::string id, std::uint64_t process, Address address);
-    std::shared_ptr<Call> first_waiting(Place &place);
-    void hand_on(Place &place, std::unique_ptr<asio::ip::tcp::socket> socket);
-    void wake_waiting(Place &place);
-    bool take_descriptor();
+    std::unique_ptr<asio::ip::tcp::socket> take_idle_connection(HostState &host,
+                                                                std::optional<Milliseconds> &idle_time);
+    void connect_more(const std::string &id, HostState &host);
+    asio::awaitable<void> connect(std::string id, std::uint64_t process, Address address);
+    std::shared_ptr<Pick> pop_waiting_pick(HostState &host);
+    void return_connection(HostState &host, std::unique_ptr<asio::ip::tcp::socket> socket);
+    void wake_waiting_picks(HostState &host);
+    bool acquire_descriptor();
     void close(std::unique_ptr<asio::ip::tcp::socket> &socket);
-    void drop_idle(Place &place, std::size_t keep);
-    template <class Which> void withdraw_if(const Which &which);
-    bool is_out_above(const std::string &key, int build) const;
-    void key_sent(const std::string &key, int build);
-    void key_ended(const std::string &key, int build);
+    void close_idle(HostState &host, std::size_t keep);
+    template <class Predicate> void withdraw_if(const Predicate &predicate);
+    bool is_open_at_newer_build(const std::string &key, int build) const;
+    void record_key_sent(const std::string &key, int build);
+    void record_key_ended(const std::string &key, int build);
 
     asio::io_context &io_;
-    const Start &start_;
+    const RouterConfig &config_;
     const Log &log_;
-    admission::DescriptorBudget &ledger_;
-    std::unordered_map<std::string, Place> places_;
-    std::unordered_set<Call *> unsent_; // picks whose last byte has yet to be written
-    // Where keys stay: picks that are on their hosts, by key and build.
-    std::unordered_map<std::string, std::map<int, int>> keys_out_;
-    Trust trust_;
-    std::size_t idle_ = 0;
-    std::uint64_t processes_ = 0;
-    Clock::time_point drain_until_{};
+    admission::DescriptorBudget &descriptor_budget_;
+    std::unordered_map<std::string, HostState> hosts_;
+    std::unordered_set<Pick *> unsent_; // picks whose command has not been written in full
+    // If keys are sticky: number of picks that have been sent and have not ended, by key and build.
+    std::unordered_map<std::string, std::map<int, int>> open_keys_;
+    IdleReusePolicy reuse_policy_;
+    std::size_t idle_count_ = 0; // over all hosts
+    std::uint64_t process_count_ = 0; // seen so far
+    Clock::time_point drain_reserve_until_{}; // the descriptors for drains may be used until then
     Clock::time_point lease_until_ = Clock::time_point::min();
     Clock::time_point outage_until_ = Clock::time_point::min();
 };
--- a/src/router/list/listing.cpp
+++ b/src/router/list/discovery_response.cpp
@@ -1,4 +1,4 @@
-#include "router/list/listing.hpp"
+#include "router/list/discovery_response.hpp"
 
 namespace pineridge::router::list {
 
@@ -13,26 +13,26 @@
     if (entry.status != HostStatus::gone || has_field(from, "addr"))
         host.address = read_address(read_string(from, "addr"), "addr");
     if (entry.status == HostStatus::gone && !has_field(from, "version_no")) return host;
-    entry.zone = place_of(names.zones, read_string(from, "zone"), "zone");
-    entry.kind = place_of(names.kinds, read_string(from, "kind"), "kind");
+    entry.zone = index_of(names.zones, read_string(from, "zone"), "zone");
+    entry.kind = index_of(names.kinds, read_string(from, "kind"), "kind");
     entry.cell = read_int(from, "cell");
     entry.build = read_int(from, "version_no");
     entry.rating = read_number(from, "weight");
     const json &started = required_field(from, "started_ms");
     if (!started.is_number()) throw_field_error("started_ms", "not a number");
-    entry.started = started.get<std::int64_t>() * 10; // the clock's own ticks
+    entry.started = started.get<std::int64_t>() * 10; // milliseconds to ticks
     return host;
 }
 
-Listing read_listing(const json &from, const Names &names) {
-    Listing listing{};
+DiscoveryResponse read_discovery_response(const json &from, const Names &names) {
+    DiscoveryResponse response{};
     const json &version = required_field(from, "version");
     if (!version.is_number_integer()) throw_field_error("version", "not a whole number");
-    listing.version = version.get<std::int64_t>();
-    listing.whole = read_bool(from, "full");
+    response.version = version.get<std::int64_t>();
+    response.complete = read_bool(from, "full");
     for (const json &host : pineridge::read_array(from, "servers"))
-        listing.hosts.push_back(read_host(host, names));
-    return listing;
+        response.hosts.push_back(read_host(host, names));
+    return response;
 }
 
 } // namespace pineridge::router::list
--- a/src/router/list/watch.cpp
+++ b/src/router/list/watch.cpp
@@ -7,11 +7,12 @@
 using membership::CallFailure;
 using membership::LeaseRules;
 
-// A call that ends so soon without a byte had found its kept connection ended: it is asked once more.
+// A call that fails within this time without an answer was sent on a kept connection that the other side had
+// closed. It is made once more.
 constexpr Milliseconds kStaleConnection{500};
 
-LeaseRules lease_rules(const Start &start) {
-    const Limits &limits = start.limits;
+LeaseRules lease_rules(const RouterConfig &config) {
+    const Limits &limits = config.limits;
     return {.told_after = limits.list_lease,
             .watch_overrun = limits.list_watch_overrun,
             .moved_told = limits.list_move_delay,
@@ -22,68 +23,69 @@
             .line_least = limits.list_min_queue_wait,
             .outage_lasts = limits.list_outage,
             .outage_goes_on = limits.list_outage_extension,
-            .lapses_on_failure = !start.list_at_hand};
+            .lapses_on_failure = !config.has_local_discovery_agent};
 }
 
 } // namespace
 
-Watch::Watch(asio::io_context &io, const Start &start, const Log &log, Told told, Failed failed,
-             LeaseTold lease_told)
-    : io_(io), start_(start), log_(log), link_(io, start.discovery, start.limits), told_(std::move(told)),
-      failed_(std::move(failed)), lease_told_(std::move(lease_told)), view_({.doubt_share = 2}),
-      lease_(lease_rules(start)), chance_(static_cast<std::uint32_t>(start.seed)), lease_over_(io),
-      stands_(io), pause_(io) {
+Watch::Watch(asio::io_context &io, const RouterConfig &config, const Log &log, ListHandler on_list,
+             FailureHandler on_failure, LeaseHandler on_lease_change)
+    : io_(io), config_(config), log_(log), link_(io, config.discovery, config.limits),
+      on_list_(std::move(on_list)), on_failure_(std::move(on_failure)),
+      on_lease_change_(std::move(on_lease_change)), view_({.doubt_share = 2}), lease_(lease_rules(config)),
+      random_(static_cast<std::uint32_t>(config.seed)), lease_timer_(io), accepted_timer_(io),
+      pause_timer_(io) {
     link_.on_first_byte([this] {
         lease_.answer_begun(Clock::now());
-        lease_changed();
+        update_lease();
     });
 }
 
-void Watch::begin() {
+void Watch::start() {
     if (std::exchange(running_, true)) return;
     asio::co_spawn(io_, run(), asio::detached);
 }
 
-void Watch::move_to(const Address &address) {
+void Watch::set_address(const Address &address) {
     if (!link_.move_to(address)) return;
-    log_(Level::info, "list: from ", address, " now");
-    ++moves_;
-    at_once_ = true;
+    log_(Level::info, "list: discovery is at ", address, " now");
+    ++address_changes_;
+    immediate_ = true;
     lease_.moved(Clock::now());
-    lease_changed();
-    pause_.cancel();
-    begin();
+    update_lease();
+    pause_timer_.cancel();
+    start();
 }
 
 // --- the lease ---
 
-void Watch::lease_changed() {
-    const Clock::time_point until = lease_.expires(), outage_until = lease_.outage_until();
+void Watch::update_lease() {
+    const Clock::time_point until = lease_.expires();
+    const Clock::time_point outage_until = lease_.outage_until();
     if (until == lease_until_ && outage_until == outage_until_) return;
     lease_until_ = until;
     outage_until_ = outage_until;
-    lease_told_(until, outage_until);
-    watch_lease();
+    on_lease_change_(until, outage_until);
+    log_lease_expiry();
 }
 
-void Watch::watch_lease() {
+void Watch::log_lease_expiry() {
     const auto now = Clock::now();
-    if (lease_.holds(now) && std::exchange(said_over_, false))
-        log_(Level::info, "list: its lease is renewed");
-    lease_over_.cancel();
-    if (lease_until_ == Clock::time_point::max() || said_over_) return;
-    lease_over_.expires_at(std::max(now, lease_until_));
-    lease_over_.async_wait([this](boost::system::error_code failed) {
-        if (failed || lease_.holds(Clock::now()) || std::exchange(said_over_, true)) return;
+    if (lease_.holds(now) && std::exchange(logged_expiry_, false)) log_(Level::info, "list: lease renewed");
+    lease_timer_.cancel();
+    if (lease_until_ == Clock::time_point::max() || logged_expiry_) return;
+    lease_timer_.expires_at(std::max(now, lease_until_));
+    lease_timer_.async_wait([this](boost::system::error_code failed) {
+        if (failed || lease_.holds(Clock::now()) || std::exchange(logged_expiry_, true)) return;
         const bool outage = Clock::now() <= outage_until_;
-        log_(Level::warning, "list: overdue, ",
-             outage ? "discovery is presumed down: only hosts with no reason to drain are sent to"
-                    : "nothing is sent until it has come");
+        log_(Level::warning, "list: overdue, lease expired: ",
+             outage ? "discovery is presumed down, RPCs go only to hosts with no reason to drain"
+                    : "no RPCs are sent until discovery answers");
     });
 }
 
-asio::awaitable<void> Watch::wait_for_lease(Milliseconds most) {
-    const auto until = Clock::now() + most;
+asio::awaitable<void> Watch::wait_for_lease(Milliseconds timeout) {
+    const auto until = Clock::now() + timeout;
     asio::steady_timer timer(io_);
     while (!lease_.holds(Clock::now()) && Clock::now() < until) {
         timer.expires_after(std::chrono::milliseconds(5));
@@ -93,176 +95,186 @@
 
 // --- calls ---
 
-asio::awaitable<void> Watch::pause(Milliseconds about) {
-    pause_.expires_after(about * std::uniform_int_distribution(50, 100)(chance_) / 100);
-    co_await pause_.async_wait(asio::as_tuple(asio::use_awaitable));
+asio::awaitable<void> Watch::pause(Milliseconds max) {
+    pause_timer_.expires_after(max * std::uniform_int_distribution(50, 100)(random_) / 100);
+    co_await pause_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
-// Each watch waits for a time of its own. Stops watches that were opened together, as a change of the list
-// has them, from falling silent and being opened anew together: discovery answers one call after another.
-// A call that is to renew the lease waits for nothing. It asks for what has changed, as the whole list of a
-// fleet's routers that move together would fill discovery's line.
+// The wait of each watch is drawn at random. Otherwise the watches of a fleet, which a change of the list
+// opens together, would also time out and be opened again together, while discovery answers one call after
+// another. A call that is to renew the lease must not wait for a change. It requests only what has changed:
+// the full list for all routers that change to a new address together would fill discovery's queue.
 Watch::Query Watch::next_query() {
-    const bool whole = std::exchange(whole_due_, false);
-    if (whole || at_once_) return {whole, true, Milliseconds(1)};
+    const bool full = std::exchange(full_list_due_, false);
+    if (full || immediate_) return {full, true, Milliseconds(1)};
     return {false, false,
-            start_.limits.list_poll_wait * std::uniform_int_distribution(50, 100)(chance_) / 100};
+            config_.limits.list_poll_wait * std::uniform_int_distribution(50, 100)(random_) / 100};
 }
 
 asio::awaitable<void> Watch::run() {
-    const Limits &limits = start_.limits;
-    std::size_t silent = 0; // calls in a row since a watch fell silent
-    std::size_t unreadable = 0; // in a row
-    std::string why;
+    const Limits &limits = config_.limits;
+    std::size_t retries = 0; // since a watch timed out
+    std::size_t malformed = 0; // answers in a row
+    std::string reason; // why the last call failed
     for (;;) {
         const Query query = next_query();
-        const auto asked = Clock::now();
+        const auto started = Clock::now();
         const std::int64_t version = version_;
-        const unsigned moves = moves_;
-        const Result result = co_await ask(query);
-        why = result.why;
-        if (result.outcome == Outcome::taken) {
-            silent = unreadable = 0;
-            // Stops a discovery that answers at once with nothing new from being asked without a pause.
-            const bool hasty = Clock::now() - asked < query.hold / 4;
-            if (!query.at_once && version == version_ && hasty) co_await pause(limits.list_retry_pause);
+        const unsigned address_changes = address_changes_;
+        const Result result = co_await send_query(query);
+        reason = result.reason;
+        if (result.outcome == Outcome::accepted) {
+            retries = malformed = 0;
+            // Discovery may answer a watch at once without a change: it is not called again without a pause.
+            const bool answered_early = Clock::now() - started < query.wait / 4;
+            if (!query.immediate && version == version_ && answered_early)
+                co_await pause(limits.list_retry_pause);
             continue;
         }
         link_.close();
-        whole_due_ = whole_due_ || query.whole;
-        at_once_ = true;
-        // Nothing of it is believed; the same is asked for at once, as a watch goes on only then.
-        if (result.outcome == Outcome::unreadable && ++unreadable < limits.max_unreadable_answers) {
-            log_(Level::info, "list: spoilt: ", why);
+        full_list_due_ = full_list_due_ || query.full;
+        immediate_ = true;
+        // No part of a malformed answer is used. The same query is made again at once, as the watch does not
+        // continue without it.
+        if (result.outcome == Outcome::malformed && ++malformed < limits.max_unreadable_answers) {
+            log_(Level::info, "list: malformed answer, queried again: ", reason);
             continue;
         }
-        if (result.outcome == Outcome::silent && !query.at_once) {
-            log_(Level::info, "list: a silent watch, asked anew: ", why);
-            silent = 1;
+        if (result.outcome == Outcome::timed_out && !query.immediate) {
+            log_(Level::info, "list: silent watch, queried again: ", reason);
+            retries = 1;
             continue;
         }
-        if (moves != moves_) continue;
-        const bool again = start_.list_at_hand || (silent > 0 && silent <= limits.max_silent_watch_retries);
-        if (!again) break;
-        // An agent beside this router has to be heard as soon as it knows anything again; of a discovery for
-        // all the next call is tried a few times soon, ever later.
-        if (!std::exchange(said_failing_, true)) log_(Level::warning, "list: ", why);
-        co_await pause(start_.list_at_hand ? limits.list_retry_pause
-                                           : limits.list_retry_pause * (1 << silent++));
+        if (address_changes != address_changes_) continue;
+        const bool retry =
+            config_.has_local_discovery_agent || (retries > 0 && retries <= limits.max_silent_watch_retries);
+        if (!retry) break;
+        // A local discovery agent must be read as soon as it has data again: it is called at a steady pace. A
+        // discovery that all routers share is called a few times, with a pause that doubles.
+        if (!std::exchange(logged_failure_, true)) log_(Level::warning, "list: ", reason);
+        co_await pause(config_.has_local_discovery_agent ? limits.list_retry_pause
+                                                         : limits.list_retry_pause * (1 << retries++));
     }
-    log_(Level::warning, "list: ", why);
+    log_(Level::warning, "list: ", reason);
     running_ = false;
-    const auto now = Clock::now(), until = std::max(lease_until_, outage_until_);
-    failed_(now <= until ? std::chrono::floor<Milliseconds>(until - now) : Milliseconds(-1));
+    const auto now = Clock::now();
+    const auto until = std::max(lease_until_, outage_until_);
+    on_failure_(now <= until ? std::chrono::floor<Milliseconds>(until - now) : Milliseconds(-1));
 }
 
-CallFailure Watch::failure_of(Outcome outcome) {
+CallFailure Watch::to_call_failure(Outcome outcome) {
     switch (outcome) {
     case Outcome::refused: return CallFailure::refused;
-    case Outcome::unreached: return CallFailure::unreached;
-    case Outcome::silent: return CallFailure::silent;
-    case Outcome::unreadable: return CallFailure::unreadable;
-    case Outcome::broken:
-    case Outcome::taken: break;
+    case Outcome::unreachable: return CallFailure::unreached;
+    case Outcome::timed_out: return CallFailure::silent;
+    case Outcome::malformed: return CallFailure::unreadable;
+    case Outcome::connection_lost:
+    case Outcome::accepted: break;
     }
     return CallFailure::broken;
 }
 
-asio::awaitable<Watch::Result> Watch::ask(const Query &query) {
-    const Limits &limits = start_.limits;
+asio::awaitable<Watch::Result> Watch::send_query(const Query &query) {
+    const Limits &limits = config_.limits;
     http::Answer answer(limits.max_http_head_bytes, limits.max_list_body_bytes);
-    const std::string path = query.whole ? "/v1/endpoints"
-                                         : "/v1/endpoints?from=" + std::to_string(version_) +
-                                               "&hold_ms=" + std::to_string(query.hold.count());
-    const auto asked = Clock::now();
-    const unsigned moves = moves_;
-    http::Call got = co_await call(query, path, answer);
-    const bool unheard = got != http::Call::answered && !answer.begun() && !link_.timed_out();
-    if (unheard && moves == moves_ && Clock::now() - asked < kStaleConnection)
-        got = co_await call(query, path, answer);
-    // What the old address still says is not listened to: the lease waits for the new one's answer.
-    const Result result =
-        moves == moves_ ? read(query, got, answer) : Result{Outcome::broken, "discovery has moved"};
+    const std::string path = query.full ? "/v1/endpoints"
+                                        : "/v1/endpoints?from=" + std::to_string(version_) +
+                                              "&hold_ms=" + std::to_string(query.wait.count());
+    const auto started = Clock::now();
+    const unsigned address_changes = address_changes_;
+    http::Call got = co_await make_call(query, path, answer);
+    const bool no_answer = got != http::Call::answered && !answer.begun() && !link_.timed_out();
+    if (no_answer && address_changes == address_changes_ && Clock::now() - started < kStaleConnection)
+        got = co_await make_call(query, path, answer);
+    // An answer from the old address is ignored: only one from the new address renews the lease.
+    const Result result = address_changes == address_changes_
+                              ? handle_response(query, got, answer)
+                              : Result{Outcome::connection_lost, "the address of discovery has changed"};
     const auto ended = Clock::now();
-    if (result.outcome == Outcome::taken)
+    if (result.outcome == Outcome::accepted)
         lease_.answered();
     else
-        lease_.failed(failure_of(result.outcome), ended);
-    lease_changed();
-    const auto took = std::chrono::duration_cast<Milliseconds>(ended - asked);
-    log_(Level::debug, "list: call ", calls_,
-         " ended: ", result.outcome == Outcome::taken ? "version " + std::to_string(version_) : result.why,
-         ", after ", took.count(), " ms");
+        lease_.failed(to_call_failure(result.outcome), ended);
+    update_lease();
+    const auto duration = std::chrono::duration_cast<Milliseconds>(ended - started);
+    log_(Level::debug, "list: call ", call_count_, " ended: ",
+         result.outcome == Outcome::accepted ? "version " + std::to_string(version_) : result.reason,
+         ", after ", duration.count(), " ms");
     co_return result;
 }
 
-// One call, as the lease is told of it. Nothing sends it again by itself.
-asio::awaitable<http::Call> Watch::call(const Query &query, const std::string &path, http::Answer &answer) {
-    const Limits &limits = start_.limits;
-    const Milliseconds wait = query.at_once ? limits.list_full_timeout : query.hold + limits.list_poll_grace;
-    const bool watches = !query.at_once;
-    log_(Level::debug, "list: call ", ++calls_, " ", path);
-    lease_.asked(Clock::now(), watches ? std::optional(query.hold) : std::nullopt);
-    if (watches) {
-        stands_.expires_after(lease_.stands_after());
-        stands_.async_wait([this](boost::system::error_code failed) {
+// Makes one call and reports it to the lease, which counts on every call being reported: it is not retried
+// here.
+asio::awaitable<http::Call> Watch::make_call(const Query &query, const std::string &path,
+                                             http::Answer &answer) {
+    const Limits &limits = config_.limits;
+    const Milliseconds timeout =
+        query.immediate ? limits.list_full_timeout : query.wait + limits.list_poll_grace;
+    const bool is_watch = !query.immediate;
+    log_(Level::debug, "list: call ", ++call_count_, " ", path);
+    lease_.asked(Clock::now(), is_watch ? std::optional(query.wait) : std::nullopt);
+    if (is_watch) {
+        accepted_timer_.expires_after(lease_.stands_after());
+        accepted_timer_.async_wait([this](boost::system::error_code failed) {
             if (failed) return;
             lease_.still_open(Clock::now());
-            lease_changed();
+            update_lease();
         });
     }
-    const http::Call got = co_await link_.call("GET", path, "", wait, false, answer);
-    stands_.cancel();
+    const http::Call got = co_await link_.call("GET", path, "", timeout, false, answer);
+    accepted_timer_.cancel();
     co_return got;
 }
 
-// What came, taken where it is whole and sound.
-Watch::Result Watch::read(const Query &query, http::Call got, const http::Answer &answer) {
+// Checks the answer, and applies it if it is complete and valid.
+Watch::Result Watch::handle_response(const Query &query, http::Call got, const http::Answer &answer) {
     if (answer.headed() && answer.status() != 200)
         return {Outcome::refused, "status " + std::to_string(answer.status())};
     if (answer.bad() || (answer.begun() && !answer.done()))
-        return {Outcome::unreadable, "an answer that cannot be read"};
-    if (got == http::Call::unsent) return {Outcome::unreached, "cannot be reached"};
+        return {Outcome::malformed, "malformed or truncated HTTP response"};
+    if (got == http::Call::unsent) return {Outcome::unreachable, "connection failed"};
     if (got == http::Call::unclear)
-        return {link_.timed_out() ? Outcome::silent : Outcome::broken, "no answer"};
+        return {link_.timed_out() ? Outcome::timed_out : Outcome::connection_lost, "no answer"};
     const json body = json::parse(answer.body(), nullptr, false);
-    if (body.is_discarded()) return {Outcome::unreadable, "not JSON"};
+    if (body.is_discarded()) return {Outcome::malformed, "not JSON"};
     try {
-        const Listing listing = read_listing(body, start_.names);
-        if (query.whole && !listing.whole) return {Outcome::unreadable, "not the whole list"};
-        // Changes from before what is known: discovery began anew, so the whole list is asked for.
-        if (!listing.whole && listing.version < version_) {
-            whole_due_ = true;
-            return {Outcome::unreadable, "changes from before what is known"};
+        const DiscoveryResponse response = read_discovery_response(body, config_.names);
+        if (query.full && !response.complete)
+            return {Outcome::malformed, "changes in answer to a query for the full list"};
+        // The version is lower than the present one: discovery has been restarted, so the full list is
+        // requested.
+        if (!response.complete && response.version < version_) {
+            full_list_due_ = true;
+            return {Outcome::malformed, "version lower than that of the present list"};
         }
-        take(listing);
-    } catch (const std::exception &bad) {
-        return {Outcome::unreadable, bad.what()};
+        apply(response);
+    } catch (const std::exception &error) {
+        return {Outcome::malformed, error.what()};
     }
-    said_failing_ = at_once_ = false;
-    return {Outcome::taken};
+    logged_failure_ = immediate_ = false;
+    return {Outcome::accepted};
 }
 
-void Watch::start_from(const Listing &listing) { take(listing); }
+void Watch::set_initial_list(const DiscoveryResponse &response) { apply(response); }
 
-void Watch::take(const Listing &listing) {
-    version_ = listing.version;
-    ++answers_;
+void Watch::apply(const DiscoveryResponse &response) {
+    version_ = response.version;
+    ++answer_count_;
     std::vector<membership::Record> records;
-    for (const membership::Member &host : listing.hosts)
+    for (const membership::Member &host : response.hosts)
         records.push_back({.key = host.entry.id,
-                           .rev = answers_,
+                           .rev = answer_count_,
                            .gone = host.entry.status == HostStatus::gone,
                            .member = host});
-    if (listing.whole) {
-        std::erase_if(records, [](const membership::Record &one) { return one.gone; });
+    if (response.complete) {
+        std::erase_if(records, [](const membership::Record &record) { return record.gone; });
         view_.begin_read();
         view_.page(records);
-        view_.end_read(answers_);
+        view_.end_read(answer_count_);
     } else {
         for (const membership::Record &record : records) view_.change(record);
     }
-    told_(view_.take().value_or(membership::Listing{}));
+    on_list_(view_.take().value_or(membership::Listing{}));
 }
 
 } // namespace pineridge::router::list
--- a/src/router/list/watch.hpp
+++ b/src/router/list/watch.hpp
@@ -1,14 +1,15 @@
-// The driver of the watch on discovery: each call is followed by the next at once, on a kept connection. What
-// it tells goes through a membership view, as a registry's words do. Discovery is one service whose answers
-// come one after another: they count in the order in which they came, and a whole list is believed at once.
-// Up to when the list may be used is a lease's to say (membership/lease.hpp); this class tells it of each
-// call and hands on what it says.
+// Client of discovery. It makes one call after another on a kept connection: a watch, which discovery answers
+// when the list changes, or an immediate query, which it answers at once. Answers pass through a membership
+// view, as the changes of a registry do. Discovery is one service that answers calls in order, so answers
+// count in the order in which they arrive, and a full list takes effect at once. membership/lease.hpp decides
+// until when the list may be used; this class reports each call to it and passes on its result. Runs on the
+// thread of the io_context; no function blocks.
 #pragma once
 
 #include "membership/lease.hpp"
 #include "membership/view.hpp"
 #include "net/http/link.hpp"
-#include "router/list/listing.hpp"
+#include "router/list/discovery_response.hpp"
 
 #include <functional>
 #include <random>
@@ -19,71 +20,75 @@
 
 class Watch {
   public:
-    using Told = std::function<void(const membership::Listing &)>;
+    using ListHandler = std::function<void(const membership::Listing &)>;
     using Clock = std::chrono::steady_clock;
-    // The lease on the list runs up to `until`; past it an outage is presumed up to `outage_until`. Given at
-    // each change of either.
-    using LeaseTold = std::function<void(Clock::time_point until, Clock::time_point outage_until)>;
-    // Calls have failed and are not repeated until `begin`. The lease, or an outage that is presumed, leaves
-    // `left`; below 0 where both are over.
-    using Failed = std::function<void(Milliseconds left)>;
+    // Called whenever one of the two changes: the lease of the list ends at `until`; after that an outage of
+    // discovery is presumed until `outage_until`.
+    using LeaseHandler = std::function<void(Clock::time_point until, Clock::time_point outage_until)>;
+    // Called when a call has failed and the watch has stopped until the next `start`. `remaining` is the time
+    // until the lease and the presumed outage have ended; below 0 if they have.
+    using FailureHandler = std::function<void(Milliseconds remaining)>;
 
-    // `told` is called for each answer taken, also where nothing has changed: discovery lives.
-    Watch(asio::io_context &io, const Start &start, const Log &log, Told told, Failed failed,
-          LeaseTold lease_told);
+    // `on_list` is called for each accepted answer, also if nothing has changed, as it shows that discovery
+    // is up.
+    Watch(asio::io_context &io, const RouterConfig &config, const Log &log, ListHandler on_list,
+          FailureHandler on_failure, LeaseHandler on_lease_change);
 
-    void begin(); // goes on until a call fails; of an agent at hand, for good
-    // Returns once the list may be used, or `most` has passed. Does not begin the calls.
-    asio::awaitable<void> wait_for_lease(Milliseconds most);
-    void move_to(const Address &address); // asks there at once for what has changed
-    // The list that the process was started with: of unknown age, so that nothing is sent by it alone.
-    void start_from(const Listing &listing);
+    void start(); // runs until a call fails; with a local discovery agent, without end
+    // Returns once the list may be used, or after `timeout`. Does not start the watch.
+    asio::awaitable<void> wait_for_lease(Milliseconds timeout);
+    void set_address(const Address &address); // queries the new address at once
+    // Sets the list that the process was started with. Its age is not known, so it has no lease.
+    void set_initial_list(const DiscoveryResponse &response);
 
   private:
-    enum class Outcome { taken, refused, unreached, broken, silent, unreadable };
+    enum class Outcome { accepted, refused, unreachable, connection_lost, timed_out, malformed };
     struct Query {
-        bool whole; // the whole list, else what has changed
-        bool at_once; // discovery is not to wait for a change
-        Milliseconds hold; // for which it may wait
+        bool full; // requests the full list, else the changes
+        bool immediate; // discovery must not wait for a change
+        Milliseconds wait; // time for which discovery may wait for a change
     };
     struct Result {
         Outcome outcome;
-        std::string why{}; // it is not `taken`
+        std::string reason{}; // why the answer was not accepted
     };
 
-    static membership::CallFailure failure_of(Outcome outcome); // of any but `taken`
+    static membership::CallFailure to_call_failure(Outcome outcome); // not for `accepted`
     asio::awaitable<void> run();
     Query next_query();
-    asio::awaitable<Result> ask(const Query &query);
-    asio::awaitable<http::Call> call(const Query &query, const std::string &path, http::Answer &answer);
-    Result read(const Query &query, http::Call got, const http::Answer &answer);
-    void take(const Listing &listing);
-    asio::awaitable<void> pause(Milliseconds about);
+    asio::awaitable<Result> send_query(const Query &query);
+    asio::awaitable<http::Call> make_call(const Query &query, const std::string &path, http::Answer &answer);
+    Result handle_response(const Query &query, http::Call got, const http::Answer &answer);
+    void apply(const DiscoveryResponse &response);
+    asio::awaitable<void> pause(Milliseconds max);
 
-    void lease_changed();
-    void watch_lease(); // logs its end, and looks whether the watch still stands
+    void update_lease();
+    void log_lease_expiry(); // logs that the lease has expired or has been renewed
 
     asio::io_context &io_;
-    const Start &start_;
+    const RouterConfig &config_;
     const Log &log_;
     http::Link link_;
-    const Told told_;
-    const Failed failed_;
-    const LeaseTold lease_told_;
+    const ListHandler on_list_;
+    const FailureHandler on_failure_;
+    const LeaseHandler on_lease_change_;
     membership::View view_;
     membership::Lease lease_;
-    std::minstd_rand chance_;
-    asio::steady_timer lease_over_; // runs out as the lease does
-    asio::steady_timer stands_; // runs out once a watch that is out has been accepted
-    asio::steady_timer pause_;
-    std::int64_t version_ = 0, answers_ = 0;
-    std::uint64_t calls_ = 0; // asked so far; names a call in the log
-    Clock::time_point lease_until_ = Clock::time_point::min(); // as last handed on, as is the next
-    Clock::time_point outage_until_ = Clock::time_point::min();
-    unsigned moves_ = 0; // of discovery to other addresses
-    bool running_ = false, whole_due_ = false;
-    bool at_once_ = true; // the next call is not to wait: what it brings renews the lease
-    bool said_failing_ = false, said_over_ = false;
+    std::minstd_rand random_;
+    asio::steady_timer lease_timer_; // expires with the lease
+    asio::steady_timer accepted_timer_; // expires when an open watch counts as accepted by discovery
+    asio::steady_timer pause_timer_;
+    std::int64_t version_ = 0; // of the list
+    std::int64_t answer_count_ = 0; // accepted so far; revision of the records of the latest answer
+    std::uint64_t call_count_ = 0; // made so far; identifies a call in the log
+    Clock::time_point lease_until_ = Clock::time_point::min(); // as last passed to on_lease_change_
+    Clock::time_point outage_until_ = Clock::time_point::min(); // the same
+    unsigned address_changes_ = 0; // so far
+    bool running_ = false;
+    bool full_list_due_ = false; // the next query requests the full list
+    bool immediate_ = true; // the next query must not wait, as its answer renews the lease
+    bool logged_failure_ = false;
+    bool logged_expiry_ = false;
 };
 
 } // namespace pineridge::router::list
--- a/src/router/service.cpp
+++ b/src/router/service.cpp
@@ -4,65 +4,67 @@
 
 namespace pineridge::router {
 
-Service::Service(boost::asio::io_context &io, std::string path, Environment environment, const Start &start,
-                 const Log &log, std::function<void()> left)
-    : path_(std::move(path)), environment_(std::move(environment)), log_(log), left_(std::move(left)),
-      signals_(io, SIGTERM, SIGINT, SIGHUP), driver_(io, start, log), start_(start), io_(io) {
+Service::Service(boost::asio::io_context &io, std::string path, Environment environment,
+                 const RouterConfig &config, const Log &log, std::function<void()> on_shut_down)
+    : path_(std::move(path)), environment_(std::move(environment)), log_(log),
+      on_shut_down_(std::move(on_shut_down)), signals_(io, SIGTERM, SIGINT, SIGHUP), driver_(io, config, log),
+      config_(config), io_(io) {
     std::signal(SIGPIPE, SIG_IGN);
-    heed_signals();
-    driver_.begin();
+    handle_signals();
+    driver_.start();
 }
 
-void Service::heed_signals() {
+void Service::handle_signals() {
     signals_.async_wait([this](boost::system::error_code failed, int number) {
         if (failed) return;
-        heed_signals();
-        if (number == SIGHUP) return reread();
+        handle_signals();
+        if (number == SIGHUP) return reload_config();
         log_(Level::info, "leaving");
-        driver_.leave(left_);
+        driver_.shut_down(on_shut_down_);
     });
 }
 
-// Addresses alone are taken anew. The list and the news in the file are those of its writing, older than what
-// stands; sizes and terms hold for the program's life. A file that is not sound changes nothing.
-void Service::reread() {
+// Applies only the addresses of discovery and the platform. The host list and the rollout status in the file
+// are older than those in use, and limits and deployment are fixed for the life of the process. An invalid
+// file changes nothing.
+void Service::reload_config() {
     try {
-        const Start told = read_start_file(path_, environment_);
+        const RouterConfig reloaded = read_config_file(path_, environment_);
         log_(Level::info, "configuration read again");
-        driver_.move(told.discovery, told.platform);
-    } catch (const std::exception &bad) {
-        log_(Level::error, "configuration kept: ", bad.what());
+        driver_.set_addresses(reloaded.discovery, reloaded.platform);
+    } catch (const std::exception &failure) {
+        log_(Level::error, "configuration kept: ", failure.what());
     }
-    reread_wishes();
+    reload_settings();
 }
 
-// Of our own settings admission alone is taken anew. Read on a thread of its own: a hundred thousand networks
-// take long, and clients wait meanwhile. What they are swapped for is handed over whole, on the loop, so that
-// whoever looks an address up takes no lock.
-void Service::reread_wishes() {
-    if (!start_.wishes_again || reader_.joinable()) return;
-    reader_ = std::jthread([this] {
-        std::shared_ptr<const AdmissionSettings> entrance;
-        std::string fault;
+// Applies only the admission rules. The file is read on another thread, as reading a hundred thousand
+// networks would delay the clients. The complete rules are then replaced on the event loop, so that looking
+// up an address needs no lock.
+void Service::reload_settings() {
+    if (!config_.reload_settings || settings_reader_.joinable()) return;
+    settings_reader_ = std::jthread([this] {
+        std::shared_ptr<const AdmissionSettings> rules;
+        std::string error;
         try {
-            Settings wishes = start_.wishes_again();
-            if (wishes.admission) {
-                check_fits(start_, *wishes.admission);
-                entrance = std::make_shared<const AdmissionSettings>(std::move(*wishes.admission));
+            Settings settings = config_.reload_settings();
+            if (settings.admission) {
+                check_compatible(config_, *settings.admission);
+                rules = std::make_shared<const AdmissionSettings>(std::move(*settings.admission));
             }
-        } catch (const std::exception &bad) {
-            fault = bad.what();
+        } catch (const std::exception &failure) {
+            error = failure.what();
         }
-        boost::asio::post(io_, [this, entrance, fault] { take_entrance(entrance, fault); });
+        boost::asio::post(io_, [this, rules, error] { apply_admission(rules, error); });
     });
 }
 
-void Service::take_entrance(std::shared_ptr<const AdmissionSettings> entrance, const std::string &fault) {
-    reader_.join();
-    if (!fault.empty()) return log_(Level::error, "settings kept: ", fault);
-    log_(Level::info, "settings read again, crowds ", entrance ? entrance->crowds.size() : 0, ", networks ",
-         entrance ? entrance->networks.size() : 0);
-    driver_.admit_by(std::move(entrance));
+void Service::apply_admission(std::shared_ptr<const AdmissionSettings> rules, const std::string &error) {
+    settings_reader_.join();
+    if (!error.empty()) return log_(Level::error, "settings kept: ", error);
+    log_(Level::info, "settings read again, crowds ", rules ? rules->crowds.size() : 0, ", networks ",
+         rules ? rules->networks.size() : 0);
+    driver_.set_admission_rules(std::move(rules));
 }
 
 } // namespace pineridge::router
--- a/tests/admission/flood_test.cpp
+++ b/tests/admission/flood_test.cpp
@@ -114,8 +114,8 @@
 // faulty settings leave the earlier ones in force.
 void rules_are_reloaded_under_a_flood() {
     Fixture fixture("<others/>");
-    auto &start = fixture.router.start;
-    start.wishes_again = [path = (fixture.town.folder / "settings.xml").string()] {
+    auto &router_config = fixture.router.router_config;
+    router_config.reload_settings = [path = (fixture.town.folder / "settings.xml").string()] {
         return read_settings_file(path);
     };
     Flood flood(fixture.io, fixture.town.listen, {Manner::asks, 0x7f070001, 200, 10, 0, "", kDrip, kPause});
@@ -130,7 +130,8 @@
     fixture.write_settings("<others most=\"60\"/>\n<crowd name=\"desks\" reserve=\"500\"><network "
                            "address=\"127.0.0.1\"/></crowd>");
     std::raise(SIGHUP);
-    fixture.until([&] { return fixture.router.has_logged("admission.crowd.reserve: together 500"); });
+    fixture.until(
+        [&] { return fixture.router.has_logged("admission.crowd.reserve: the crowds reserve 500"); });
     std::string networks;
     for (int i = 0; i < 20000; ++i)
         networks += "<network address=\"10." + std::to_string(i / 250) + "." + std::to_string(i % 250) +
@@ -239,7 +240,7 @@
 void observe_mode_refuses_nothing() {
     Fixture fixture("<others per-address=\"2\"/>");
     fixture.write_settings("<others per-address=\"2\"/>", " mode=\"observe\"");
-    fixture.router.start.wishes_again = [path = (fixture.town.folder / "settings.xml").string()] {
+    fixture.router.router_config.reload_settings = [path = (fixture.town.folder / "settings.xml").string()] {
         return read_settings_file(path);
     };
     std::raise(SIGHUP);
--- a/tests/client_close_test.cpp
+++ b/tests/client_close_test.cpp
@@ -9,7 +9,7 @@
 // Here the order is forced: the handler of the test sends the next command while the previous one is being
 // handled, so that the next read completes at once and its handler is queued behind whatever the test has
 // queued.
-#include "one_router.hpp"
+#include "router_fixture.hpp"
 
 #include <sys/resource.h>
 #include <thread>
@@ -54,15 +54,15 @@
 
 // The client side of a router, with the handler of the test in place of the driver.
 struct ClientSide {
-    ClientSide() : start(read_start_file(town.path, town.environment)) {}
+    ClientSide() : config(read_config_file(fixture.config_path, fixture.environment)) {}
 
     void listen() {
-        server.emplace(town.io, start, town.log, descriptor_budget, handler);
+        server.emplace(fixture.io, config, fixture.log, descriptor_budget, handler);
         server->listen();
     }
     tcp::socket connect() {
-        tcp::socket client(town.io);
-        client.connect({asio::ip::address_v4::loopback(), start.listen.port()});
+        tcp::socket client(fixture.io);
+        client.connect({asio::ip::address_v4::loopback(), config.listen.port()});
         client.non_blocking(true);
         return client;
     }
@@ -74,7 +74,7 @@
         std::string received;
         std::string buffer(4096, '\0');
         bool ended = false;
-        town.until([&] {
+        fixture.run_until([&] {
             boost::system::error_code failed;
             const std::size_t size = client.read_some(asio::buffer(buffer), failed);
             received.append(buffer, 0, size);
@@ -92,10 +92,10 @@
         assert(received == expected);
     }
 
-    Town town;
-    Start start;
+    RouterFixture fixture;
+    RouterConfig config;
     ScriptedHandler handler;
-    admission::DescriptorBudget descriptor_budget = descriptor_budget_for(start.limits);
+    admission::DescriptorBudget descriptor_budget = descriptor_budget_for(config.limits);
     std::optional<clients::Clients> server;
     bool has_shut_down = false;
 };
@@ -106,16 +106,16 @@
     ClientSide client_side;
     client_side.listen();
     tcp::socket client = client_side.connect();
-    const std::string first_command = ask("id-one");
+    const std::string first_command = ask_command("id-one");
     asio::write(client, asio::buffer(first_command.substr(0, 20)));
-    client_side.town.until([&] { return client_side.server->open_connections() == 1; });
+    client_side.fixture.run_until([&] { return client_side.server->open_connections() == 1; });
     client_side.shut_down();
     client_side.handler.on_rpc = [&](const std::string &id) {
-        if (id == "id-one") asio::write(client, asio::buffer(ask("id-two")));
+        if (id == "id-one") asio::write(client, asio::buffer(ask_command("id-two")));
     };
     asio::write(client, asio::buffer(first_command.substr(20)));
     client_side.expect_replies(client, {"id-one", "id-two"});
-    client_side.town.until([&] { return client_side.has_shut_down; });
+    client_side.fixture.run_until([&] { return client_side.has_shut_down; });
 }
 
 // A shutdown begins between the read of a command and its handling.
@@ -125,25 +125,25 @@
     tcp::socket client = client_side.connect();
     client_side.handler.on_rpc = [&](const std::string &id) {
         if (id != "id-one") return;
-        asio::write(client, asio::buffer(ask("id-two")));
+        asio::write(client, asio::buffer(ask_command("id-two")));
         // Runs after the handler of the first reply's write, which is queued by now, and before that of the
         // next read.
-        asio::post(client_side.town.io, [&] { client_side.shut_down(); });
+        asio::post(client_side.fixture.io, [&] { client_side.shut_down(); });
     };
-    asio::write(client, asio::buffer(ask("id-one")));
+    asio::write(client, asio::buffer(ask_command("id-one")));
     client_side.expect_replies(client, {"id-one", "id-two"});
-    client_side.town.until([&] { return client_side.has_shut_down; });
+    client_side.fixture.run_until([&] { return client_side.has_shut_down; });
 }
 
 // A shutdown begins with one client in the listen queue and one descriptor left: the client is accepted, and
 // the attempt to accept another finds no descriptor and closes idle connections at once.
 void a_client_accepted_without_free_descriptors_is_answered() {
     ClientSide client_side;
-    client_side.start.limits.min_shutdown_time = client_side.start.limits.shutdown_quiet_time =
+    client_side.config.limits.min_shutdown_time = client_side.config.limits.shutdown_quiet_time =
         Milliseconds(0);
     client_side.listen();
     tcp::socket queued = client_side.connect();
-    asio::write(queued, asio::buffer(ask("id-one")));
+    asio::write(queued, asio::buffer(ask_command("id-one")));
     rlimit original{};
     ::getrlimit(RLIMIT_NOFILE, &original);
     const rlimit few_descriptors{64, original.rlim_max};
@@ -156,26 +156,26 @@
     client_side.expect_replies(queued, {"id-one"});
     for (const int fd : used_descriptors) ::close(fd);
     ::setrlimit(RLIMIT_NOFILE, &original);
-    client_side.town.until([&] { return client_side.has_shut_down; });
+    client_side.fixture.run_until([&] { return client_side.has_shut_down; });
 }
 
 // A client has not completed a command in time; the rest arrives in the turn of the event loop that detects
 // this.
 void a_command_completed_before_the_stall_check_is_answered() {
     ClientSide client_side;
-    client_side.start.limits.sweep_interval = Milliseconds(200);
-    client_side.start.limits.command_timeout = Milliseconds(50);
+    client_side.config.limits.sweep_interval = Milliseconds(200);
+    client_side.config.limits.command_timeout = Milliseconds(50);
     client_side.listen();
     tcp::socket client = client_side.connect();
-    const std::string command = ask("id-one");
+    const std::string command = ask_command("id-one");
     asio::write(client, asio::buffer(command.substr(0, 20)));
-    client_side.town.until([&] { return client_side.server->open_connections() == 1; });
+    client_side.fixture.run_until([&] { return client_side.server->open_connections() == 1; });
     // The timer expires before the sweep and runs in the same turn, as the loop is blocked until both are
     // due.
-    asio::steady_timer send_rest(client_side.town.io, std::chrono::milliseconds(60));
+    asio::steady_timer send_rest(client_side.fixture.io, std::chrono::milliseconds(60));
     send_rest.async_wait(
         [&](boost::system::error_code) { asio::write(client, asio::buffer(command.substr(20))); });
-    asio::post(client_side.town.io, [] { std::this_thread::sleep_for(std::chrono::milliseconds(250)); });
+    asio::post(client_side.fixture.io, [] { std::this_thread::sleep_for(std::chrono::milliseconds(250)); });
     client_side.expect_replies(client, {"id-one"});
 }
 
@@ -183,21 +183,21 @@
 // the others is passed to the handler, where it would have an effect whose result nobody receives.
 void commands_of_a_closed_connection_are_dropped() {
     ClientSide client_side;
-    client_side.start.limits.max_pipelined = 1;
-    client_side.start.limits.unread_check_interval = Milliseconds(100);
+    client_side.config.limits.max_pipelined = 1;
+    client_side.config.limits.unread_check_interval = Milliseconds(100);
     client_side.handler.answers_at_once = false;
     client_side.listen();
     tcp::socket client = client_side.connect();
-    asio::write(client, asio::buffer(ask("id-one") + ask("id-two")));
-    client_side.town.until([&] { return client_side.handler.has_received("id-one"); });
+    asio::write(client, asio::buffer(ask_command("id-one") + ask_command("id-two")));
+    client_side.fixture.run_until([&] { return client_side.handler.has_received("id-one"); });
     client.close();
     // The timer expires before the check that detects the closed client and runs in the same turn, so that
     // the end of the write is queued behind that check.
-    asio::steady_timer send_reply(client_side.town.io, std::chrono::milliseconds(50));
+    asio::steady_timer send_reply(client_side.fixture.io, std::chrono::milliseconds(50));
     send_reply.async_wait([&](boost::system::error_code) { client_side.handler.answer_first(); });
-    asio::post(client_side.town.io, [] { std::this_thread::sleep_for(std::chrono::milliseconds(250)); });
-    client_side.town.until([&] { return client_side.server->open_connections() == 0; });
-    for (int turn = 0; turn < 10; ++turn) client_side.town.io.poll();
+    asio::post(client_side.fixture.io, [] { std::this_thread::sleep_for(std::chrono::milliseconds(250)); });
+    client_side.fixture.run_until([&] { return client_side.server->open_connections() == 0; });
+    for (int turn = 0; turn < 10; ++turn) client_side.fixture.io.poll();
     assert(!client_side.handler.has_received("id-two"));
 }
 
@@ -210,13 +210,13 @@
 // Each command that was read from a refused connection is answered, not only the first.
 void each_command_of_a_refused_connection_is_answered() {
     ClientSide client_side;
-    client_side.start.entrance = one_connection_per_address();
+    client_side.config.admission = one_connection_per_address();
     client_side.listen();
     tcp::socket first = client_side.connect();
-    asio::write(first, asio::buffer(ask("id-one")));
+    asio::write(first, asio::buffer(ask_command("id-one")));
     client_side.expect_replies(first, {"id-one"});
     tcp::socket refused = client_side.connect();
-    asio::write(refused, asio::buffer(ask("id-two") + ask("id-tri")));
+    asio::write(refused, asio::buffer(ask_command("id-two") + ask_command("id-tri")));
     const std::string replies = client_side.read_replies(refused, 2 * std::string("-BUSY 1000\r\n").size());
     assert(std::count(replies.begin(), replies.end(), '-') == 2);
 }
@@ -225,14 +225,14 @@
 // shutdown connections are accepted before their first command has arrived.
 void a_silent_refused_connection_does_not_block_others() {
     ClientSide client_side;
-    client_side.start.entrance = one_connection_per_address();
+    client_side.config.admission = one_connection_per_address();
     client_side.listen();
     tcp::socket first = client_side.connect();
-    const std::string command = ask("id-one");
+    const std::string command = ask_command("id-one");
     asio::write(first, asio::buffer(command.substr(0, 20)));
-    client_side.town.until([&] { return client_side.server->open_connections() == 1; });
+    client_side.fixture.run_until([&] { return client_side.server->open_connections() == 1; });
     client_side.shut_down();
-    for (int turn = 0; turn < 10; ++turn) client_side.town.io.poll();
+    for (int turn = 0; turn < 10; ++turn) client_side.fixture.io.poll();
     tcp::socket silent = client_side.connect();
     asio::write(first, asio::buffer(command.substr(20)));
     client_side.expect_replies(first, {"id-one"});
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -1,6 +1,7 @@
-// A router's list of hosts is held under a lease: past the time up to which it is known to be complete
-// nothing is sent by it. Real processes on loopback, told by a discovery that refuses, resets, hangs or cuts
-// its answers; the verdict is read from what the hosts recorded, set against when each change was made.
+// Tests the lease of the host list: after the time until which the list is known to be complete, the router
+// sends nothing by it. Real router processes run on loopback with a discovery that refuses, resets, hangs or
+// truncates its answers. What the hosts recorded is compared with the times at which discovery made each
+// change.
 #undef NDEBUG
 #include "standins/discovery/faulty.hpp"
 #include "standins/program/program.hpp"
@@ -17,21 +18,23 @@
 
 namespace {
 
-constexpr std::int64_t kToldAfter = 6000; // ms: a change counts as told so long after discovery had it
-constexpr std::int64_t kGrace = 300; // ms: of a drain, with the slack that sockets are given
-constexpr int kInstances = 300; // routers of the fleet that this one is told it belongs to
-constexpr double kRequestsPerSecond = 60;
-constexpr int kReleased = 2; // the build that is released; those before it go
-constexpr milliseconds kLine(2000); // for which a crowded discovery lets a call wait before it turns it away
+// A change of the list counts as received by the router this long after discovery has made it.
+constexpr std::int64_t kReceivedAfterMs = 6000;
+// A draining host may still be sent RPCs for this long, which includes some slack for sockets.
+constexpr std::int64_t kDrainGraceMs = 300;
+constexpr int kFleetInstances = 300; // routers of the fleet, as configured
+constexpr double kRpcsPerSecond = 60;
+constexpr int kReleasedBuild = 2; // hosts of earlier builds have a reason to drain
+constexpr milliseconds kQueueWait(2000); // of a call before an overloaded discovery refuses it
 
-// One router process, its two hosts "stays" and "drains", and a steady stream of requests.
-struct World {
-    World(asio::io_context &loop, std::string its_name, std::string program, int drains_build)
-        : io(loop), name(std::move(its_name)), program_(std::move(program)), town(loop, Plot{}),
+// One router process, its two hosts "stays" and "drains", and clients that send RPCs at a steady rate.
+struct Scenario {
+    Scenario(asio::io_context &loop, std::string scenario_name, std::string program, int drains_build)
+        : io(loop), name(std::move(scenario_name)), program_(std::move(program)), town(loop, Plot{}),
           discovery(loop, Town::now) {
-        town.host("stays", "north", kReleased);
+        town.host("stays", "north", kReleasedBuild);
         town.host("drains", "north", drains_build);
-        town.platform.build = kReleased;
+        town.platform.build = kReleasedBuild;
         for (const Host &host : town.hosts) discovery.list(host.entry());
         write_config();
     }
@@ -40,7 +43,7 @@
         nlohmann::json config = nlohmann::json::parse(town.config_text());
         config["discovery"] = discovery.address();
         config["known"] = discovery.whole();
-        config["settings"]["instances"] = kInstances;
+        config["settings"]["instances"] = kFleetInstances;
         config["settings"]["rules"]["askEvery"] = 10;
         config["settings"]["rules"]["drainGrace"] = 0.25;
         std::ofstream(town.folder / "config.json") << config.dump();
@@ -54,222 +57,247 @@
         router->signal(SIGKILL);
         router.reset();
     }
-    // Tells discovery of the drain, and the host, which turns away from then on what it is sent.
+    // Drains the host "drains": it refuses RPCs from now on, and discovery lists it as draining. Returns the
+    // time of the change.
     std::int64_t drain() {
         for (Host &host : town.hosts)
-            if (host.id == "drains") host.state = "terminating", discovery.list(host.entry());
+            if (host.id == "drains") {
+                host.state = "terminating";
+                discovery.list(host.entry());
+            }
         return discovery.changes.back().at;
     }
 
-    asio::awaitable<bool> until(std::function<bool()> held, milliseconds most = milliseconds(15000)) {
-        const auto end = std::chrono::steady_clock::now() + most;
+    asio::awaitable<bool> wait_until(std::function<bool()> condition,
+                                     milliseconds timeout = milliseconds(15000)) {
+        const auto end = std::chrono::steady_clock::now() + timeout;
         asio::steady_timer timer(io);
-        while (!held() && std::chrono::steady_clock::now() < end) {
+        while (!condition() && std::chrono::steady_clock::now() < end) {
             timer.expires_after(milliseconds(5));
             co_await timer.async_wait(asio::use_awaitable);
         }
-        co_return held();
+        co_return condition();
     }
-    // Starts the router; returns once it serves and its watch on discovery stands.
-    asio::awaitable<void> begin_service() {
+    // Starts the router; returns once it serves and its watch on discovery is open.
+    asio::awaitable<void> start_service() {
         start();
-        town.flow("acme", kRequestsPerSecond);
-        expect(co_await until([&] { return discovery.standing() > 0; }), "no watch");
-        expect(co_await until([&] { return served_since(0); }), "not served at first");
-        // Long enough for the watch to be no call that is turned away at once.
-        co_await until_time(Town::now() + 400);
+        town.flow("acme", kRpcsPerSecond);
+        expect(co_await wait_until([&] { return discovery.standing() > 0; }),
+               "no watch on discovery was opened");
+        expect(co_await wait_until([&] { return served_since(0); }), "no RPC was sent after the start");
+        // By then the watch no longer counts as a call that may be refused at once.
+        co_await wait_until_time(Town::now() + 400);
     }
-    asio::awaitable<void> until_time(std::int64_t at) {
-        co_await until([at] { return Town::now() >= at; });
+    asio::awaitable<void> wait_until_time(std::int64_t at) {
+        co_await wait_until([at] { return Town::now() >= at; });
     }
 
-    std::size_t picks(const std::string &host, std::int64_t from, std::int64_t to) const {
+    std::size_t count_picks(const std::string &host, std::int64_t from, std::int64_t to) const {
         std::size_t count = 0;
         for (const PickRow &row : town.picks)
             count += row.host == host && row.begun >= from && row.begun < to;
         return count;
     }
-    bool served_since(std::int64_t at) const { return picks("stays", at, INT64_MAX) > 0; }
+    bool served_since(std::int64_t at) const { return count_picks("stays", at, INT64_MAX) > 0; }
 
-    void expect(bool held, const std::string &what) {
-        if (held) return;
+    void expect(bool condition, const std::string &what) {
+        if (condition) return;
         std::cerr << name << ": " << what << "\n";
         failed = true;
     }
-    void expect_none_at_drained(std::int64_t told) {
+    void expect_none_sent_to_drained(std::int64_t received_at) {
         std::size_t late = 0;
-        std::int64_t latest = 0;
+        std::int64_t max_delay = 0;
         for (const PickRow &row : town.picks) {
-            if (row.host != "drains" || row.begun <= told + kGrace) continue;
-            ++late, latest = std::max(latest, row.begun - told);
+            if (row.host != "drains" || row.begun <= received_at + kDrainGraceMs) continue;
+            ++late;
+            max_delay = std::max(max_delay, row.begun - received_at);
         }
-        expect(late == 0, std::to_string(late) + " requests sent to a drained host, the last " +
-                              std::to_string(latest) + " ms after its drain counts as told");
+        expect(late == 0, std::to_string(late) + " RPCs sent to a drained host, the last " +
+                              std::to_string(max_delay) + " ms after its drain counts as received");
     }
-    // Each request that the process took has had its answer.
+    // Checks that each RPC that the router accepted has been answered.
     void expect_all_answered() {
         std::size_t lost = 0;
         for (const Asked &asked : town.clients.asked()) lost += asked.answer == "lost";
-        expect(lost == 0, std::to_string(lost) + " requests lost");
+        expect(lost == 0, std::to_string(lost) + " RPCs without an answer");
     }
 
     asio::io_context &io;
     const std::string name;
-    const std::string program_;
+    const std::string program_; // path of the router
     Town town;
     FaultyDiscovery discovery;
     std::optional<Program> router;
-    bool failed = false, over = false;
+    bool failed = false;
+    bool finished = false;
 };
 
-// Started, killed and started again with a list from before a drain that counts as told by then, while
-// discovery refuses, resets or hangs.
-asio::awaitable<void> restart_with_an_old_list(World &world, Mode mode) {
-    const std::int64_t told = world.drain() + kToldAfter;
-    co_await world.until_time(told + kGrace);
-    world.town.flow("acme", kRequestsPerSecond);
-    world.discovery.set(mode);
+// The router is started, killed and started again with a cached list from before a drain that counts as
+// received by then, while discovery refuses, resets or hangs.
+asio::awaitable<void> restart_with_an_old_list(Scenario &scenario, Mode mode) {
+    const std::int64_t received_at = scenario.drain() + kReceivedAfterMs;
+    co_await scenario.wait_until_time(received_at + kDrainGraceMs);
+    scenario.town.flow("acme", kRpcsPerSecond);
+    scenario.discovery.set(mode);
     for (int start = 0; start < 2; ++start) {
-        world.start();
-        const int calls = world.discovery.calls;
-        co_await world.until([&] { return world.discovery.calls > calls; });
-        co_await world.until_time(Town::now() + 1500);
-        world.kill();
+        scenario.start();
+        const int calls = scenario.discovery.calls;
+        co_await scenario.wait_until([&] { return scenario.discovery.calls > calls; });
+        co_await scenario.wait_until_time(Town::now() + 1500);
+        scenario.kill();
     }
-    world.start();
-    const int calls = world.discovery.calls;
-    co_await world.until([&] { return world.discovery.calls > calls; });
-    world.discovery.set(Mode::serving);
+    scenario.start();
+    const int calls = scenario.discovery.calls;
+    co_await scenario.wait_until([&] { return scenario.discovery.calls > calls; });
+    scenario.discovery.set(Mode::serving);
     const std::int64_t back = Town::now();
-    world.expect(co_await world.until([&] { return world.served_since(back); }), "not served again");
-    world.expect_none_at_drained(told);
+    scenario.expect(co_await scenario.wait_until([&] { return scenario.served_since(back); }),
+                    "no RPC was sent after discovery had returned");
+    scenario.expect_none_sent_to_drained(received_at);
 }
 
 // Discovery ends the watch and fails each call from then on; the host of the build before the released one
-// drains at that moment. (While discovery is down nothing counts as told; but whether it is down or back and
-// crowded cannot be told from a failed call, and a host with a reason to drain gets nothing.)
-asio::awaitable<void> outage_with_a_drain(World &world, Mode mode) {
-    co_await world.begin_service();
-    world.discovery.set(mode);
-    const std::int64_t drained = world.drain();
-    co_await world.until_time(drained + kToldAfter + 2500);
-    world.expect(world.picks("stays", drained, drained + 4000) > 0, "not served while the list holds");
-    world.discovery.set(Mode::serving);
+// drains at that moment. While discovery is down no change counts as received. But a failed call does not
+// show whether discovery is down or overloaded, so a host with a reason to drain must not be sent anything.
+asio::awaitable<void> outage_with_a_drain(Scenario &scenario, Mode mode) {
+    co_await scenario.start_service();
+    scenario.discovery.set(mode);
+    const std::int64_t drained = scenario.drain();
+    co_await scenario.wait_until_time(drained + kReceivedAfterMs + 2500);
+    scenario.expect(scenario.count_picks("stays", drained, drained + 4000) > 0,
+                    "no RPC was sent while the lease was valid");
+    scenario.discovery.set(Mode::serving);
     const std::int64_t back = Town::now();
-    world.expect(co_await world.until([&] { return world.served_since(back); }), "not served again");
-    world.expect_none_at_drained(drained + kToldAfter);
-    world.expect_all_answered();
+    scenario.expect(co_await scenario.wait_until([&] { return scenario.served_since(back); }),
+                    "no RPC was sent after discovery had returned");
+    scenario.expect_none_sent_to_drained(drained + kReceivedAfterMs);
+    scenario.expect_all_answered();
 }
 
-// A quiet watch ends with nothing new; the call that follows is refused, and a host drains unheard.
-asio::awaitable<void> refused_after_a_quiet_watch(World &world) {
-    co_await world.begin_service();
-    world.discovery.refuse_after = kLine;
-    world.discovery.set(Mode::crowded);
-    world.expect(co_await world.until([&] { return world.discovery.standing() == 0; }, milliseconds(25000)),
-                 "the watch has not ended");
-    const std::int64_t drained = world.drain();
-    co_await world.until_time(drained + kToldAfter + 2500);
-    world.expect_none_at_drained(drained + kToldAfter);
-    world.expect_all_answered();
+// A watch ends without a change. The call that follows is refused, and a host drains without the router
+// receiving it.
+asio::awaitable<void> refused_after_a_quiet_watch(Scenario &scenario) {
+    co_await scenario.start_service();
+    scenario.discovery.refuse_after = kQueueWait;
+    scenario.discovery.set(Mode::crowded);
+    scenario.expect(
+        co_await scenario.wait_until([&] { return scenario.discovery.standing() == 0; }, milliseconds(25000)),
+        "the watch did not end");
+    const std::int64_t drained = scenario.drain();
+    co_await scenario.wait_until_time(drained + kReceivedAfterMs + 2500);
+    scenario.expect_none_sent_to_drained(drained + kReceivedAfterMs);
+    scenario.expect_all_answered();
 }
 
-// Discovery is down for longer than the lease: what has no reason to drain is sent to all the while. A host
-// drains as discovery returns, crowded at first: nothing is sent there past the time that counts from then.
-asio::awaitable<void> outage_with_a_crowded_return(World &world) {
-    co_await world.begin_service();
-    world.discovery.refuse_after = kLine;
-    world.discovery.set(Mode::refusing);
+// Discovery is down for longer than the lease: hosts without a reason to drain are sent RPCs all the while. A
+// host drains as discovery returns, overloaded at first: nothing is sent to it once its drain counts as
+// received.
+asio::awaitable<void> outage_with_a_crowded_return(Scenario &scenario) {
+    co_await scenario.start_service();
+    scenario.discovery.refuse_after = kQueueWait;
+    scenario.discovery.set(Mode::refusing);
     const std::int64_t down = Town::now();
-    co_await world.until_time(down + 12000);
-    const std::int64_t past_lease = down + kToldAfter + 500, end = down + 12000;
-    const std::size_t served = world.picks("stays", past_lease, end) + world.picks("drains", past_lease, end);
-    world.expect(served > 60, "not served in the outage"); // 1.5 s of it at the least, by the drawn waits
-    const std::int64_t drained = world.drain();
-    co_await world.until_time(drained + kLine.count());
-    world.discovery.set(Mode::serving);
-    co_await world.until_time(drained + kToldAfter + 2500);
-    const bool again = co_await world.until([&] { return world.served_since(drained + kToldAfter); });
-    world.expect(again, "not served again");
-    world.expect_none_at_drained(drained + kToldAfter);
-    world.expect_all_answered();
+    co_await scenario.wait_until_time(down + 12000);
+    const std::int64_t past_lease = down + kReceivedAfterMs + 500, end = down + 12000;
+    const std::size_t served =
+        scenario.count_picks("stays", past_lease, end) + scenario.count_picks("drains", past_lease, end);
+    // The random waits of the watches leave at least 1.5 s of service.
+    scenario.expect(served > 60, "too few RPCs were sent in the outage");
+    const std::int64_t drained = scenario.drain();
+    co_await scenario.wait_until_time(drained + kQueueWait.count());
+    scenario.discovery.set(Mode::serving);
+    co_await scenario.wait_until_time(drained + kReceivedAfterMs + 2500);
+    const bool again =
+        co_await scenario.wait_until([&] { return scenario.served_since(drained + kReceivedAfterMs); });
+    scenario.expect(again, "no RPC was sent after discovery had returned");
+    scenario.expect_none_sent_to_drained(drained + kReceivedAfterMs);
+    scenario.expect_all_answered();
 }
 
-// The same with a return that stays crowded, and a host that drains for another reason than a release: it
-// runs the build that stays. Each call is turned away after its wait in the line, as it was in the outage, so
-// that the router goes on presuming one; but discovery has the change and can be reached, so that it counts
-// as told after 6 s.
-asio::awaitable<void> crowded_for_longer_than_the_lease(World &world) {
-    co_await world.begin_service();
-    world.discovery.refuse_after = kLine;
-    world.discovery.set(Mode::refusing);
+// As before, but discovery stays overloaded after its return, and the host that drains runs the released
+// build, so that it has no reason known to the router. Each call is refused after its wait in the queue, as
+// it was in the outage, so that the router goes on presuming one. But discovery has the change and can be
+// reached, so that the change counts as received after 6 s.
+asio::awaitable<void> crowded_for_longer_than_the_lease(Scenario &scenario) {
+    co_await scenario.start_service();
+    scenario.discovery.refuse_after = kQueueWait;
+    scenario.discovery.set(Mode::refusing);
     const std::int64_t down = Town::now();
-    co_await world.until_time(down + 8000);
-    const std::int64_t drained = world.drain();
-    co_await world.until_time(drained + 2 * kToldAfter);
-    world.discovery.set(Mode::serving);
+    co_await scenario.wait_until_time(down + 8000);
+    const std::int64_t drained = scenario.drain();
+    co_await scenario.wait_until_time(drained + 2 * kReceivedAfterMs);
+    scenario.discovery.set(Mode::serving);
     const std::int64_t back = Town::now();
-    world.expect(co_await world.until([&] { return world.served_since(back); }), "not served again");
-    world.expect_none_at_drained(drained + kToldAfter);
-    world.expect_all_answered();
+    scenario.expect(co_await scenario.wait_until([&] { return scenario.served_since(back); }),
+                    "no RPC was sent after discovery had returned");
+    scenario.expect_none_sent_to_drained(drained + kReceivedAfterMs);
+    scenario.expect_all_answered();
 }
 
-// The answer that tells of a drain is cut; what it told counts, although it cannot be read.
-asio::awaitable<void> cut_answer_with_a_drain(World &world) {
-    co_await world.begin_service();
-    world.discovery.set(Mode::cutting);
-    const std::int64_t drained = world.drain();
-    co_await world.until_time(drained + 3000);
-    world.discovery.set(Mode::serving);
+// The answer that reports a drain is truncated. The drain counts as received, although the answer is invalid.
+asio::awaitable<void> cut_answer_with_a_drain(Scenario &scenario) {
+    co_await scenario.start_service();
+    scenario.discovery.set(Mode::cutting);
+    const std::int64_t drained = scenario.drain();
+    co_await scenario.wait_until_time(drained + 3000);
+    scenario.discovery.set(Mode::serving);
     const std::int64_t back = Town::now();
-    world.expect(co_await world.until([&] { return world.served_since(back); }), "not served again");
-    world.expect_none_at_drained(drained);
-    world.expect_all_answered();
+    scenario.expect(co_await scenario.wait_until([&] { return scenario.served_since(back); }),
+                    "no RPC was sent after discovery had returned");
+    scenario.expect_none_sent_to_drained(drained);
+    scenario.expect_all_answered();
 }
 
-// Runs the worlds side by side to their ends; the exit status.
-int finish(asio::io_context &io, std::list<World> &worlds) {
-    const auto all_over = [&] {
-        return std::all_of(worlds.begin(), worlds.end(), [](const World &world) { return world.over; });
+// Runs the scenarios concurrently until all have finished; returns the exit status.
+int run_to_end(asio::io_context &io, std::list<Scenario> &scenarios) {
+    const auto all_finished = [&] {
+        return std::all_of(scenarios.begin(), scenarios.end(),
+                           [](const Scenario &scenario) { return scenario.finished; });
     };
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(90);
-    while (!all_over() && std::chrono::steady_clock::now() < end) io.run_one_for(milliseconds(5));
+    while (!all_finished() && std::chrono::steady_clock::now() < end) io.run_one_for(milliseconds(5));
     bool failed = false;
-    for (World &world : worlds) {
-        world.expect(world.over, "not over in time");
-        if (world.failed) std::cerr << world.router->said().substr(0, 6000) << "\n";
-        failed = failed || world.failed;
+    for (Scenario &scenario : scenarios) {
+        scenario.expect(scenario.finished, "did not finish in time");
+        if (scenario.failed) std::cerr << scenario.router->said().substr(0, 6000) << "\n";
+        failed = failed || scenario.failed;
     }
     return failed ? 1 : 0;
 }
 
 } // namespace
 
-// lease_test PROGRAM: all worlds but one. lease_test PROGRAM crowded: that one.
+// Usage: lease_test PROGRAM runs all scenarios but one; lease_test PROGRAM crowded runs that one.
 int main(int count, char **argv) {
     asio::io_context io;
-    std::list<World> worlds;
-    const auto play = [&](const std::string &name, auto scenario, int drains_build = kReleased) {
-        World &world = worlds.emplace_back(io, name, argv[1], drains_build);
-        asio::co_spawn(io, scenario(world), [&world](const std::exception_ptr &thrown) {
+    std::list<Scenario> scenarios;
+    const auto start = [&](const std::string &name, auto run_scenario, int drains_build = kReleasedBuild) {
+        Scenario &scenario = scenarios.emplace_back(io, name, argv[1], drains_build);
+        asio::co_spawn(io, run_scenario(scenario), [&scenario](const std::exception_ptr &thrown) {
             if (thrown) std::rethrow_exception(thrown);
-            world.over = true;
+            scenario.finished = true;
         });
     };
     if (count > 2) {
-        play("crowded for long", crowded_for_longer_than_the_lease);
-        return finish(io, worlds);
+        start("crowded for long", crowded_for_longer_than_the_lease);
+        return run_to_end(io, scenarios);
     }
-    play("restart, refused", [](World &world) { return restart_with_an_old_list(world, Mode::refusing); });
-    play("restart, reset", [](World &world) { return restart_with_an_old_list(world, Mode::resetting); });
-    play("restart, hanging", [](World &world) { return restart_with_an_old_list(world, Mode::hanging); });
-    const int before = kReleased - 1;
-    play(
-        "outage, refused", [](World &world) { return outage_with_a_drain(world, Mode::refusing); }, before);
-    play(
-        "outage, reset", [](World &world) { return outage_with_a_drain(world, Mode::resetting); }, before);
-    play("crowded return", outage_with_a_crowded_return);
-    play("quiet watch", refused_after_a_quiet_watch);
-    play("cut answer", cut_answer_with_a_drain);
-    return finish(io, worlds);
+    start("restart, refused",
+          [](Scenario &scenario) { return restart_with_an_old_list(scenario, Mode::refusing); });
+    start("restart, reset",
+          [](Scenario &scenario) { return restart_with_an_old_list(scenario, Mode::resetting); });
+    start("restart, hanging",
+          [](Scenario &scenario) { return restart_with_an_old_list(scenario, Mode::hanging); });
+    const int before = kReleasedBuild - 1;
+    start(
+        "outage, refused", [](Scenario &scenario) { return outage_with_a_drain(scenario, Mode::refusing); },
+        before);
+    start(
+        "outage, reset", [](Scenario &scenario) { return outage_with_a_drain(scenario, Mode::resetting); },
+        before);
+    start("crowded return", outage_with_a_crowded_return);
+    start("quiet watch", refused_after_a_quiet_watch);
+    start("cut answer", cut_answer_with_a_drain);
+    return run_to_end(io, scenarios);
 }
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -2,8 +2,8 @@
 #undef NDEBUG
 #include "net/http/http.hpp"
 #include "router/clients/session.hpp"
-#include "router/hosts/exchange.hpp"
-#include "router/hosts/trust.hpp"
+#include "router/hosts/answer_parser.hpp"
+#include "router/hosts/idle_reuse_policy.hpp"
 
 #include <cassert>
 #include <functional>
@@ -86,11 +86,11 @@
 }
 
 std::string answered(const std::vector<std::string> &parts) {
-    hosts::Exchange exchange(kLimits, kFields);
+    hosts::AnswerParser parser(kLimits, kFields);
     for (std::size_t i = 0; i < parts.size(); ++i)
-        if (const auto ending = exchange.feed(parts[i]))
-            return std::to_string(static_cast<int>(ending->outcome)) + ending->value +
-                   std::to_string(ending->report.size()) + (ending->reusable ? "kept" : "closed");
+        if (const auto result = parser.feed(parts[i]))
+            return std::to_string(static_cast<int>(result->outcome)) + result->value +
+                   std::to_string(result->report.size()) + (result->reusable ? "kept" : "closed");
     return "nothing";
 }
 
@@ -163,16 +163,16 @@
 }
 
 void idle_connections_that_break_are_no_longer_trusted() {
-    hosts::Trust trust(kLimits);
+    hosts::IdleReusePolicy policy(kLimits);
     for (int i = 0; i < 40; ++i) {
-        trust.note_new(i % 10 == 0);
-        trust.note_kept(Milliseconds(5), i % 10 == 0);
-        trust.note_kept(Milliseconds(120), i % 2 == 0);
+        policy.record_new(i % 10 == 0);
+        policy.record_reused(Milliseconds(5), i % 10 == 0);
+        policy.record_reused(Milliseconds(120), i % 2 == 0);
     }
-    assert(trust.holds(Milliseconds(5)) && trust.holds(Milliseconds(60)) && !trust.holds(Milliseconds(120)) &&
-           !trust.holds(Milliseconds(900)));
-    for (int i = 0; i < 20; ++i) trust.fade();
-    assert(trust.holds(Milliseconds(900)));
+    assert(policy.allows(Milliseconds(5)) && policy.allows(Milliseconds(60)) &&
+           !policy.allows(Milliseconds(120)) && !policy.allows(Milliseconds(900)));
+    for (int i = 0; i < 20; ++i) policy.decay();
+    assert(policy.allows(Milliseconds(900)));
 }
 
 } // namespace
