--- a/fuzz/answer.cpp
+++ b/fuzz/answer.cpp
@@ -1,22 +1,23 @@
 // An HTTP/1.1 answer: the same verdict and body however it is cut.
-#include "net/http/http.hpp"
+#include "net/http/response.hpp"
 #include "target.hpp"
 
 #include <cstdlib>
 
-using pineridge::http::Answer;
+using pineridge::http::Response;
 
 namespace {
 
 std::string read(std::string_view bytes, std::size_t piece) {
-    Answer answer(512, 4096);
-    answer.keep("X-Consul-Index");
-    for (std::size_t at = 0; at < bytes.size() && !answer.done() && !answer.bad(); at += piece)
+    Response answer(512, 4096);
+    answer.capture_header("X-Consul-Index");
+    for (std::size_t at = 0; at < bytes.size() && !answer.is_complete() && !answer.is_malformed();
+         at += piece)
         answer.feed(bytes.substr(at, piece));
     if (answer.body().size() > 4096) std::abort();
-    if (answer.bad()) return "bad";
-    return std::to_string(answer.status()) + (answer.done() ? "." : "-") + answer.kept(0) + "\n" +
-           answer.body();
+    if (answer.is_malformed()) return "bad";
+    return std::to_string(answer.status()) + (answer.is_complete() ? "." : "-") + answer.captured_header(0) +
+           "\n" + answer.body();
 }
 
 } // namespace
--- a/src/cli/release.cpp
+++ b/src/cli/release.cpp
@@ -3,7 +3,7 @@
 #include "cli/commands.hpp"
 #include "cli/now.hpp"
 
-#include "net/http/link.hpp"
+#include "net/http/connection.hpp"
 #include "release/plan.hpp"
 #include "release/wire.hpp"
 #include "settings/read.hpp"
@@ -42,19 +42,19 @@
     if (desk.empty()) throw BadInput("--desk: not given, and the settings have no desk");
     const Limits limits{};
     boost::asio::io_context io(1);
-    http::Link link(io, read_address(desk, "desk"), limits);
-    http::Answer answer(limits.max_http_head_bytes, limits.max_snapshot_bytes);
-    http::Call result = http::Call::unsent;
+    http::Connection link(io, read_address(desk, "desk"), limits);
+    http::Response answer(limits.max_http_head_bytes, limits.max_snapshot_bytes);
+    http::CallResult result = http::CallResult::not_sent;
     boost::asio::co_spawn(
         io,
         [&]() -> boost::asio::awaitable<void> {
-            result = co_await link.call(method, path, body, limits.desk_snapshot_timeout, false, answer);
+            result = co_await link.request(method, path, body, limits.desk_snapshot_timeout, false, answer);
         },
         boost::asio::detached);
     io.run();
-    if (result == http::Call::unclear)
+    if (result == http::CallResult::unknown)
         throw std::runtime_error("desk: no complete answer; the request may or may not have taken effect");
-    if (result == http::Call::unsent) throw std::runtime_error("desk: not reached at " + desk);
+    if (result == http::CallResult::not_sent) throw std::runtime_error("desk: not reached at " + desk);
     if (answer.status() != 200)
         throw std::runtime_error("desk: status " + std::to_string(answer.status()) + ": " + answer.body());
     return answer.body();
--- a/src/membership/access.cpp
+++ b/src/membership/access.cpp
@@ -17,7 +17,8 @@
         if (!std::getline(file, access.token)) throw BadInput("registry.token-file: cannot be read");
     }
     if (!from.ca_file.empty())
-        access.tls = tls::load({from.ca_file, from.certificate_file, from.key_file, from.server_name});
+        access.tls =
+            tls::load_engine_factory({from.ca_file, from.certificate_file, from.key_file, from.server_name});
     return access;
 }
 
--- a/src/membership/access.hpp
+++ b/src/membership/access.hpp
@@ -12,7 +12,7 @@
 struct Access {
     std::vector<Address> endpoints;
     std::string token; // never logged
-    std::unique_ptr<tls::Maker> tls; // none: plaintext
+    std::unique_ptr<tls::EngineFactory> tls; // none: plaintext
 };
 
 // Throws BadInput naming the key or the file; std::runtime_error where the library of TLS is not there.
--- a/src/membership/blocking/follower.cpp
+++ b/src/membership/blocking/follower.cpp
@@ -66,7 +66,7 @@
     unsent_ += "\r\n";
     answer_.emplace(kMostHead, kMostBody);
     for (const char *field : {"X-Consul-Index", "X-Consul-KnownLeader", "X-Consul-LastContact"})
-        answer_->keep(field);
+        answer_->capture_header(field);
     entries_.emplace([this](Entry entry) { take_entry(std::move(entry)); });
     view_.begin_read();
     // The server adds up to a sixteenth of the wait by itself.
@@ -95,27 +95,27 @@
 bool Follower::usable() {
     if (answer_->status() != 200 && answer_->status() != 404)
         return fail("status " + std::to_string(answer_->status())), false;
-    if (answer_->kept(kLeader) == "false") return fail("a member without a leader"), false;
-    if (number(answer_->kept(kContact), 0) * 10 > times_.contact)
+    if (answer_->captured_header(kLeader) == "false") return fail("a member without a leader"), false;
+    if (number(answer_->captured_header(kContact), 0) * 10 > times_.contact)
         return fail("a member out of touch with its leader"), false;
-    if (number(answer_->kept(kIndex), -1) < 0) return fail("an answer without an index"), false;
+    if (number(answer_->captured_header(kIndex), -1) < 0) return fail("an answer without an index"), false;
     return true;
 }
 
 bool Follower::feed(std::string_view bytes, Ticks now) {
     now_ = std::max(now_, now);
-    if (!answer_ || answer_->done()) {
+    if (!answer_ || answer_->is_complete()) {
         fail("bytes that were not asked for");
         return false;
     }
     answer_->feed(bytes);
-    if (answer_->bad()) return fail("an answer that cannot be read"), false;
-    if (answer_->headed() && !usable()) return false;
+    if (answer_->is_malformed()) return fail("an answer that cannot be read"), false;
+    if (answer_->has_status() && !usable()) return false;
     const std::string body = answer_->take_body();
     // 404: no key under the prefix; what its body says is for people.
     if (answer_->status() == 200 && !body.empty() && !entries_->feed(body))
         return fail("an answer that cannot be read: " + entries_->fault()), false;
-    if (answer_->done()) take_answer();
+    if (answer_->is_complete()) take_answer();
     return !dead();
 }
 
@@ -124,8 +124,8 @@
         return fail("an answer that cannot be read: it ends too early");
     view_.page(std::exchange(page_, {}));
     // Least 1: an index of 0 would never block, and the list be asked for in a loop.
-    const std::int64_t index = std::max<std::int64_t>(1, number(answer_->kept(kIndex), 1));
-    const bool stays = answer_->stays_open();
+    const std::int64_t index = std::max<std::int64_t>(1, number(answer_->captured_header(kIndex), 1));
+    const bool stays = answer_->keep_alive();
     answer_.reset();
     if (index < index_ && !std::exchange(went_back_, true)) {
         view_.drop_read(); // start anew: what the list is without an index is what counts
@@ -152,9 +152,9 @@
 }
 
 void Follower::ended() {
-    if (answer_ && !answer_->done()) {
-        answer_->end();
-        if (answer_->done() && !answer_->bad()) {
+    if (answer_ && !answer_->is_complete()) {
+        answer_->end_of_stream();
+        if (answer_->is_complete() && !answer_->is_malformed()) {
             const std::string body = answer_->take_body();
             if (!usable()) return;
             if (answer_->status() == 200 && !body.empty() && !entries_->feed(body))
--- a/src/membership/blocking/follower.hpp
+++ b/src/membership/blocking/follower.hpp
@@ -9,7 +9,7 @@
 #include "membership/peer.hpp"
 #include "membership/value.hpp"
 #include "membership/view.hpp"
-#include "net/http/http.hpp"
+#include "net/http/response.hpp"
 #include "random.hpp"
 
 #include <optional>
@@ -47,7 +47,7 @@
     const std::string prefix_, authority_, token_;
     const Times times_;
     Pcg32 chance_;
-    std::optional<http::Answer> answer_; // to the query under way
+    std::optional<http::Response> answer_; // to the query under way
     std::optional<Entries> entries_;
     std::vector<Record> page_;
     std::int64_t index_ = 0; // 0: the next query does not block
--- a/src/membership/etcd/follower.cpp
+++ b/src/membership/etcd/follower.cpp
@@ -54,7 +54,7 @@
     request.set_limit(static_cast<std::int64_t>(keys_now_));
     request.set_keys_only(without_value_);
     request.set_revision(read_rev_); // 0 for the first page: what the answer stands at holds for the rest
-    page_call_ = session_.call("/etcdserverpb.KV/Range", authority_, token_);
+    page_call_ = session_.start_call("/etcdserverpb.KV/Range", authority_, token_);
     session_.send(page_call_, request.SerializeAsString(), true);
     due_ = now_ + times_.answer;
 }
@@ -68,7 +68,7 @@
     create.set_start_revision(view_.revision() + 1);
     create.set_progress_notify(true);
     create.set_fragment(true);
-    watch_call_ = session_.call("/etcdserverpb.Watch/Watch", authority_, token_);
+    watch_call_ = session_.start_call("/etcdserverpb.Watch/Watch", authority_, token_);
     session_.send(watch_call_, request.SerializeAsString(), false);
     due_ = now_ + times_.answer;
 }
@@ -108,7 +108,7 @@
     request.set_sort_target(etcdserverpb::RangeRequest::MOD);
     request.set_revision(view_.revision()); // as of what the watch has told
     audit_rev_ = view_.revision();
-    audit_call_ = session_.call("/etcdserverpb.KV/Range", authority_, token_);
+    audit_call_ = session_.start_call("/etcdserverpb.KV/Range", authority_, token_);
     session_.send(audit_call_, request.SerializeAsString(), true);
 }
 
--- a/src/membership/etcd/grpc_peer.hpp
+++ b/src/membership/etcd/grpc_peer.hpp
@@ -18,9 +18,9 @@
         return !dead();
     }
     std::string output() final {
-        std::string bytes = session_.output();
+        std::string bytes = session_.take_output();
         take_events(); // a call that we reset ends as its frame is made
-        bytes += session_.output();
+        bytes += session_.take_output();
         return bytes;
     }
 
@@ -32,9 +32,9 @@
 
   private:
     void take_events() {
-        if (!session_.fault().empty()) fail(session_.fault());
+        if (!session_.error().empty()) fail(session_.error());
         http2::Event event{};
-        while (!dead() && session_.take(event)) take(event);
+        while (!dead() && session_.next_event(event)) take(event);
     }
 };
 
--- a/src/membership/etcd/registrar.cpp
+++ b/src/membership/etcd/registrar.cpp
@@ -9,7 +9,7 @@
       leaving_(leaving) {}
 
 std::int32_t Registrar::call(const char *method, const google::protobuf::MessageLite &message) {
-    const std::int32_t id = session_.call(method, authority_, token_);
+    const std::int32_t id = session_.start_call(method, authority_, token_);
     session_.send(id, message.SerializeAsString(), true);
     due_ = now_ + own_.answer;
     return id;
@@ -61,7 +61,7 @@
         request.set_lease(lease_.id);
         put_call_ = call("/etcdserverpb.KV/Put", request);
     } else if (keep_call_ < 0) {
-        keep_call_ = session_.call("/etcdserverpb.Lease/LeaseKeepAlive", authority_, token_);
+        keep_call_ = session_.start_call("/etcdserverpb.Lease/LeaseKeepAlive", authority_, token_);
         renew_at_ = now_;
         clock(now_);
     }
--- a/src/membership/pump.cpp
+++ b/src/membership/pump.cpp
@@ -1,6 +1,6 @@
 #include "membership/pump.hpp"
 
-#include "net/fuse.hpp"
+#include "net/socket_deadline.hpp"
 
 namespace pineridge::membership {
 
@@ -22,17 +22,17 @@
     bool take(std::string_view bytes, Ticks now) {
         if (!engine) return peer->feed(bytes, now);
         const bool sound = engine->feed(bytes);
-        const std::string clear = engine->take();
+        const std::string clear = engine->take_plaintext();
         if (!clear.empty() && !peer->feed(clear, now)) return false;
-        if (!sound) why = "TLS: " + engine->fault();
+        if (!sound) why = "TLS: " + engine->error();
         return sound && !engine->ended();
     }
     std::string output() {
         std::string clear = peer->output();
         if (!engine) return clear;
         if (!clear.empty()) engine->send(clear);
-        if (why.empty() && !engine->fault().empty()) why = "TLS: " + engine->fault();
-        return engine->output();
+        if (why.empty() && !engine->error().empty()) why = "TLS: " + engine->error();
+        return engine->take_output();
     }
 
     asio::ip::tcp::socket socket;
@@ -55,17 +55,17 @@
 asio::awaitable<std::string> Pump::run(const Address &address, std::shared_ptr<Peer> peer,
                                        std::function<void()> moved) {
     const auto line = line_ = std::make_shared<Line>(io_, std::move(peer), std::move(moved));
-    Fuse fuse(io_.get_executor());
-    fuse.light(line->socket, limits_.platform_connect_timeout);
+    SocketDeadline socket_deadline(io_.get_executor());
+    socket_deadline.set(line->socket, limits_.platform_connect_timeout);
     const auto [refused] = co_await line->socket.async_connect(address, as_tuple(use_awaitable));
-    if (refused || fuse.blown()) {
+    if (refused || socket_deadline.expired()) {
         line->end();
         co_return "no connection";
     }
-    fuse.put_out();
+    socket_deadline.cancel();
     boost::system::error_code ignored;
     line->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    if (tls_) line->engine = tls_->make(address.address().to_string(), protocol_);
+    if (tls_) line->engine = tls_->make_engine(address.address().to_string(), protocol_);
     line->peer->begin(clock_());
     kick(line);
     asio::co_spawn(io_, beat(line), asio::detached);
--- a/src/membership/pump.hpp
+++ b/src/membership/pump.hpp
@@ -21,7 +21,8 @@
     using Clock = std::function<Ticks()>;
 
     // `tls` may be none: plaintext. What is handed over must outlive the pump. One thread.
-    Pump(asio::io_context &io, const Limits &limits, Clock clock, tls::Maker *tls, std::string protocol)
+    Pump(asio::io_context &io, const Limits &limits, Clock clock, tls::EngineFactory *tls,
+         std::string protocol)
         : io_(io), limits_(limits), clock_(std::move(clock)), tls_(tls), protocol_(std::move(protocol)) {}
 
     // Until the connection is of no further use: why. `moved` is called whenever the peer may have learnt
@@ -41,7 +42,7 @@
     asio::io_context &io_;
     const Limits &limits_;
     const Clock clock_;
-    tls::Maker *const tls_;
+    tls::EngineFactory *const tls_;
     const std::string protocol_;
     std::shared_ptr<Line> line_;
     std::size_t heard_ = 0;
--- a/src/membership/registration.cpp
+++ b/src/membership/registration.cpp
@@ -8,7 +8,7 @@
 using asio::use_awaitable;
 
 Registration::Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::OwnKey own,
-                           std::string token, tls::Maker *tls, const Limits &limits, const Log &log,
+                           std::string token, tls::EngineFactory *tls, const Limits &limits, const Log &log,
                            std::uint64_t seed, Pump::Clock clock)
     : io_(io), endpoints_(std::move(endpoints)), own_(std::move(own)), token_(std::move(token)), log_(log),
       clock_(std::move(clock)), ends_(endpoints_.size(), {}, seed ^ 0x9e3779b97f4a7c15ULL),
--- a/src/membership/registration.hpp
+++ b/src/membership/registration.hpp
@@ -13,7 +13,7 @@
   public:
     // What is handed over by reference must outlive the registration. `tls` may be none. One thread.
     Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::OwnKey own, std::string token,
-                 tls::Maker *tls, const Limits &limits, const Log &log, std::uint64_t seed,
+                 tls::EngineFactory *tls, const Limits &limits, const Log &log, std::uint64_t seed,
                  Pump::Clock clock);
 
     void begin();
--- a/src/membership/source.cpp
+++ b/src/membership/source.cpp
@@ -89,7 +89,7 @@
             flush();
         });
     if (plot_.tls)
-        if (const std::string complaint = plot_.tls->complaint(); !complaint.empty())
+        if (const std::string complaint = plot_.tls->take_reload_error(); !complaint.empty())
             log_.event(Level::warning, "registry.tls", {{"kept", complaint}});
     view_.broken();
     flush();
--- a/src/membership/source.hpp
+++ b/src/membership/source.hpp
@@ -18,7 +18,7 @@
     ViewRules view;
     EndpointRules ends;
     Ticks quiet = 25000; // a view without a word for longer waits its turn with the others, if all were away
-    tls::Maker *tls = nullptr; // plaintext
+    tls::EngineFactory *tls = nullptr; // plaintext
     std::string protocol = "h2"; // told in the TLS handshake
     // A conversation that follows the prefix on one connection and feeds the view.
     std::function<std::shared_ptr<Peer>(View &view, const std::string &authority)> follow;
--- a/src/net/proxy/proxy.cpp
+++ b/src/net/proxy/proxy.cpp
@@ -10,98 +10,109 @@
 
 namespace {
 
-constexpr std::string_view kFirst = "PROXY ";
-constexpr std::string_view kSecond("\r\n\r\n\0\r\nQUIT\n", 12);
-constexpr std::size_t kMostFirst = 107, kHead = 16;
+constexpr std::string_view kVersion1Prefix = "PROXY ";
+constexpr std::string_view kVersion2Signature("\r\n\r\n\0\r\nQUIT\n", 12);
+constexpr std::size_t kMaxVersion1Bytes = 107;
+constexpr std::size_t kVersion2FixedBytes = 16; // up to and including the length of the rest
 
-Scan bad(Header &header, const char *why) {
-    header.fault = why;
-    return Scan::bad;
+ScanResult malformed(Header &header, const char *reason) {
+    header.error = reason;
+    return ScanResult::malformed;
 }
 
 bool is_port(std::string_view text) {
     unsigned value = 0;
-    const auto read = std::from_chars(text.data(), text.data() + text.size(), value);
-    return !text.empty() && read.ec == std::errc{} && read.ptr == text.data() + text.size() &&
+    const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
+    return !text.empty() && parsed.ec == std::errc{} && parsed.ptr == text.data() + text.size() &&
            value <= 65535 && (text.size() == 1 || text[0] != '0');
 }
 
-Scan scan_first(std::string_view bytes, Header &header) {
-    const std::size_t end = bytes.substr(0, kMostFirst).find("\r\n");
+ScanResult scan_version_1(std::string_view bytes, Header &header) {
+    const std::size_t end = bytes.substr(0, kMaxVersion1Bytes).find("\r\n");
     if (end == std::string_view::npos)
-        return bytes.size() >= kMostFirst ? bad(header, "version 1: no end of line in 107 bytes")
-                                          : Scan::more;
+        return bytes.size() >= kMaxVersion1Bytes
+                   ? malformed(header, "version 1: no line end within 107 bytes")
+                   : ScanResult::incomplete;
     header.size = end + 2;
-    std::vector<std::string_view> words;
+    std::vector<std::string_view> fields;
     for (std::string_view rest = bytes.substr(0, end);;) {
-        const std::size_t blank = rest.find(' ');
-        words.push_back(rest.substr(0, blank));
-        if (blank == std::string_view::npos) break;
-        rest.remove_prefix(blank + 1);
+        const std::size_t space = rest.find(' ');
+        fields.push_back(rest.substr(0, space));
+        if (space == std::string_view::npos) break;
+        rest.remove_prefix(space + 1);
     }
-    if (words[1] == "UNKNOWN") return Scan::whole;
-    const bool four = words[1] == "TCP4";
-    if (!four && words[1] != "TCP6") return bad(header, "version 1: neither TCP4, TCP6 nor UNKNOWN");
-    if (words.size() != 6) return bad(header, "version 1: not two addresses and two ports");
-    for (const std::size_t at : {std::size_t{2}, std::size_t{3}}) {
+    if (fields[1] == "UNKNOWN") return ScanResult::complete;
+    const bool is_v4 = fields[1] == "TCP4";
+    if (!is_v4 && fields[1] != "TCP6") return malformed(header, "version 1: neither TCP4, TCP6 nor UNKNOWN");
+    if (fields.size() != 6) return malformed(header, "version 1: does not have two addresses and two ports");
+    for (const std::size_t index : {std::size_t{2}, std::size_t{3}}) {
         boost::system::error_code failed;
-        const ip::address read = ip::make_address(std::string(words[at]), failed);
-        if (failed || read.is_v4() != four) return bad(header, "version 1: not an address of its family");
-        if (at == 2) header.client = read;
+        const ip::address address = ip::make_address(std::string(fields[index]), failed);
+        if (failed || address.is_v4() != is_v4)
+            return malformed(header, "version 1: invalid address, or not of the stated family");
+        if (index == 2) header.client = address;
     }
-    if (!is_port(words[4]) || !is_port(words[5])) return bad(header, "version 1: not a port");
-    return Scan::whole;
+    if (!is_port(fields[4]) || !is_port(fields[5])) return malformed(header, "version 1: invalid port");
+    return ScanResult::complete;
 }
 
-Scan scan_second(std::string_view bytes, Header &header) {
-    if (bytes.size() < kHead) return Scan::more;
+ScanResult scan_version_2(std::string_view bytes, Header &header) {
+    if (bytes.size() < kVersion2FixedBytes) return ScanResult::incomplete;
     const auto byte = [&](std::size_t at) { return static_cast<unsigned char>(bytes[at]); };
-    const unsigned version = byte(12) >> 4, command = byte(12) & 15, family = byte(13) >> 4,
-                   kind = byte(13) & 15;
+    const unsigned version = byte(12) >> 4;
+    const unsigned command = byte(12) & 15;
+    const unsigned family = byte(13) >> 4;
+    const unsigned transport = byte(13) & 15;
     const std::size_t length = byte(14) * 256u + byte(15);
-    if (version != 2) return bad(header, "version 2: another version in its head");
-    if (command > 1) return bad(header, "version 2: neither LOCAL nor PROXY");
-    if (family > 3 || kind > 2) return bad(header, "version 2: a family that there is not");
-    if (kHead + length > kMost) return bad(header, "version 2: over 2048 bytes");
-    const std::size_t needed = command == 0 || kind == 0 ? 0
-                               : family == 1             ? 12
-                               : family == 2             ? 36
-                               : family == 3             ? 216
-                                                         : 0;
-    if (length < needed) return bad(header, "version 2: too short for its family");
-    if (bytes.size() < kHead + length) return Scan::more;
-    header.size = kHead + length;
-    if (command == 0 || kind != 1) return Scan::whole; // LOCAL, or not a stream
+    if (version != 2) return malformed(header, "version 2: unsupported version");
+    if (command > 1) return malformed(header, "version 2: neither LOCAL nor PROXY");
+    if (family > 3 || transport > 2)
+        return malformed(header, "version 2: unknown address family or transport");
+    if (kVersion2FixedBytes + length > kMaxHeaderBytes)
+        return malformed(header, "version 2: longer than 2048 bytes");
+    const std::size_t min_length = command == 0 || transport == 0 ? 0
+                                   : family == 1                  ? 12
+                                   : family == 2                  ? 36
+                                   : family == 3                  ? 216
+                                                                  : 0;
+    if (length < min_length) return malformed(header, "version 2: too short for its address family");
+    if (bytes.size() < kVersion2FixedBytes + length) return ScanResult::incomplete;
+    header.size = kVersion2FixedBytes + length;
+    if (command == 0 || transport != 1) return ScanResult::complete; // LOCAL, or not a stream transport
     if (family == 1) {
-        ip::address_v4::bytes_type read;
-        std::copy_n(bytes.begin() + kHead, read.size(), read.begin());
-        header.client = ip::address_v4(read);
+        ip::address_v4::bytes_type address;
+        std::copy_n(bytes.begin() + kVersion2FixedBytes, address.size(), address.begin());
+        header.client = ip::address_v4(address);
     } else if (family == 2) {
-        ip::address_v6::bytes_type read;
-        std::copy_n(bytes.begin() + kHead, read.size(), read.begin());
-        header.client = ip::address_v6(read);
+        ip::address_v6::bytes_type address;
+        std::copy_n(bytes.begin() + kVersion2FixedBytes, address.size(), address.begin());
+        header.client = ip::address_v6(address);
     }
-    return Scan::whole;
+    return ScanResult::complete;
 }
 
-bool begins(std::string_view bytes, std::string_view mark) {
-    const std::size_t known = std::min(bytes.size(), mark.size());
-    return bytes.substr(0, known) == mark.substr(0, known);
+// Whether the bytes begin with the prefix, or are too few to tell and agree with it so far.
+bool shares_prefix(std::string_view bytes, std::string_view prefix) {
+    const std::size_t shared_size = std::min(bytes.size(), prefix.size());
+    return bytes.substr(0, shared_size) == prefix.substr(0, shared_size);
 }
 
 } // namespace
 
-bool begins_like_one(std::string_view bytes) {
-    return !bytes.empty() && (begins(bytes, kFirst) || begins(bytes, kSecond));
+bool may_be_header(std::string_view bytes) {
+    return !bytes.empty() &&
+           (shares_prefix(bytes, kVersion1Prefix) || shares_prefix(bytes, kVersion2Signature));
 }
 
-Scan scan(std::string_view bytes, Header &header) {
+ScanResult scan(std::string_view bytes, Header &header) {
     header = {};
-    if (bytes.empty()) return Scan::more;
-    const bool first = begins(bytes, kFirst), second = begins(bytes, kSecond);
-    if (!first && !second) return bad(header, "no PROXY header");
-    if (bytes.size() < (first ? kFirst : kSecond).size()) return Scan::more;
-    return first ? scan_first(bytes, header) : scan_second(bytes, header);
+    if (bytes.empty()) return ScanResult::incomplete;
+    const bool is_version_1 = shares_prefix(bytes, kVersion1Prefix);
+    const bool is_version_2 = shares_prefix(bytes, kVersion2Signature);
+    if (!is_version_1 && !is_version_2) return malformed(header, "no PROXY header");
+    if (bytes.size() < (is_version_1 ? kVersion1Prefix : kVersion2Signature).size())
+        return ScanResult::incomplete;
+    return is_version_1 ? scan_version_1(bytes, header) : scan_version_2(bytes, header);
 }
 
 } // namespace pineridge::proxy
--- a/src/net/proxy/proxy.hpp
+++ b/src/net/proxy/proxy.hpp
@@ -1,5 +1,6 @@
-// The header that a front puts before its client's bytes, so that clients are told apart: the PROXY protocol,
-// versions 1 and 2 (haproxy.org, proxy-protocol.txt, 2020). Fed bytes; knows no socket.
+// A parser for the PROXY protocol, versions 1 and 2 (haproxy.org, proxy-protocol.txt, 2020): the header with
+// which a proxy tells the router the address of the client whose connection it forwards. It is given bytes
+// and does no I/O.
 #pragma once
 
 #include <boost/asio/ip/address.hpp>
@@ -10,20 +11,23 @@
 
 namespace pineridge::proxy {
 
-enum class Scan { more, whole, bad };
+enum class ScanResult { incomplete, complete, malformed };
 
 struct Header {
     std::size_t size = 0; // bytes of the header
-    std::optional<boost::asio::ip::address> client; // none: the front speaks for itself, or cannot say
-    std::string fault; // where it is bad
+    // Empty for a connection of the proxy itself, such as a health check, and where the address is unknown.
+    std::optional<boost::asio::ip::address> client;
+    std::string error; // the reason why the header is malformed
 };
 
-// Reads the header from the front of the bytes. Given fewer than it needs it answers `more`, and is then
-// called again with the same bytes and those after them; it needs kMost at most.
-inline constexpr std::size_t kMost = 16 + 2048;
-Scan scan(std::string_view bytes, Header &header);
+// The most bytes that `scan` needs for a result.
+inline constexpr std::size_t kMaxHeaderBytes = 16 + 2048;
 
-// Could these bytes, from the start of a connection, be a header?
-bool begins_like_one(std::string_view bytes);
+// Parses a header from the front of the bytes. Returns `incomplete` where it has not arrived whole; the
+// caller then calls again with the same bytes followed by more.
+ScanResult scan(std::string_view bytes, Header &header);
+
+// Whether these bytes, received at the start of a connection, are a header or the beginning of one.
+bool may_be_header(std::string_view bytes);
 
 } // namespace pineridge::proxy
--- a/src/net/resp/resp.hpp
+++ b/src/net/resp/resp.hpp
@@ -1,4 +1,5 @@
-// RESP2 read in place: nothing is copied, every text is a view into the bytes given.
+// A parser for RESP2, the Redis serialization protocol. It copies nothing: every text of a value is a view
+// into the bytes that it was parsed from.
 #pragma once
 
 #include <cstddef>
@@ -7,25 +8,25 @@
 
 namespace pineridge::resp {
 
-enum class Scan { more, whole, bad };
-enum class Kind { line, error, number, bulk, null, array };
+enum class ScanResult { incomplete, complete, malformed };
+enum class Kind { simple_string, error, integer, bulk_string, null, array };
 
 struct Value {
     Kind kind = Kind::null;
-    std::string_view body{}; // without marks and line ends
-    std::string_view raw{}; // as it came
-    std::vector<Value> items{};
+    std::string_view body{}; // the content, without type byte, length and line ends
+    std::string_view raw{}; // the whole value as received
+    std::vector<Value> items{}; // the elements of an array
 };
 
 struct Bounds {
-    std::size_t bulk;
-    std::size_t words;
-    std::size_t depth;
-    std::size_t line;
+    std::size_t max_bulk_bytes;
+    std::size_t max_items;
+    std::size_t max_nesting;
+    std::size_t max_line_bytes;
 };
 
-// Reads one value from the front of the bytes. Given fewer than it needs it answers `more`, and is then
-// called again with the same bytes and those after them.
-Scan scan(std::string_view bytes, const Bounds &bounds, Value &value);
+// Parses one value from the front of the bytes. Returns `incomplete` where the value has not arrived whole;
+// the caller then calls again with the same bytes followed by more. The value is valid only after `complete`.
+ScanResult scan(std::string_view bytes, const Bounds &bounds, Value &value);
 
 } // namespace pineridge::resp
--- a/src/release/desk_client.cpp
+++ b/src/release/desk_client.cpp
@@ -42,10 +42,10 @@
 }
 
 asio::awaitable<bool> DeskClient::fetch_snapshot() {
-    http::Answer answer(limits_.max_http_head_bytes, limits_.max_snapshot_bytes);
-    const http::Call result = co_await snapshot_link_.call("GET", "/release/v1/snapshot", "",
-                                                           limits_.desk_snapshot_timeout, true, answer);
-    if (result != http::Call::answered || answer.status() != 200) co_return false;
+    http::Response answer(limits_.max_http_head_bytes, limits_.max_snapshot_bytes);
+    const http::CallResult result = co_await snapshot_link_.request(
+        "GET", "/release/v1/snapshot", "", limits_.desk_snapshot_timeout, true, answer);
+    if (result != http::CallResult::answered || answer.status() != 200) co_return false;
     try {
         plan_.apply_snapshot(read_snapshot(answer.body(), plan_.scheme().released_stage()));
     } catch (const std::exception &error) {
@@ -86,15 +86,15 @@
     while (!queue_.empty()) {
         const std::string opinion = std::move(queue_.front());
         queue_.pop_front();
-        http::Answer answer(limits_.max_http_head_bytes, limits_.max_stream_line_bytes);
-        const http::Call result = co_await opinion_link_.call("POST", "/release/v1/opinions", opinion,
-                                                              limits_.desk_answer_timeout, false, answer);
+        http::Response answer(limits_.max_http_head_bytes, limits_.max_stream_line_bytes);
+        const http::CallResult result = co_await opinion_link_.request(
+            "POST", "/release/v1/opinions", opinion, limits_.desk_answer_timeout, false, answer);
         // Without an answer it is unknown whether the desk counted the opinion. The desk's updates will show
         // it, and the plan may give the opinion again.
-        if (result != http::Call::answered || answer.status() != 200)
-            log_.event(result == http::Call::unclear ? Level::info : Level::debug, "desk.opinion",
+        if (result != http::CallResult::answered || answer.status() != 200)
+            log_.event(result == http::CallResult::unknown ? Level::info : Level::debug, "desk.opinion",
                        {{"sent", opinion},
-                        {"counted", result == http::Call::unclear ? "unknown" : "no"},
+                        {"counted", result == http::CallResult::unknown ? "unknown" : "no"},
                         {"status", answer.status()}});
     }
     sending_ = false;
--- a/src/release/desk_client.hpp
+++ b/src/release/desk_client.hpp
@@ -3,8 +3,8 @@
 // it reconnects with exponential, jittered back-off; the plan keeps its state in the meantime.
 #pragma once
 
-#include "net/http/lines.hpp"
-#include "net/http/link.hpp"
+#include "net/http/connection.hpp"
+#include "net/http/line_stream.hpp"
 #include "release/plan.hpp"
 
 #include <deque>
@@ -41,9 +41,9 @@
     Plan &plan_;
     std::function<void()> on_update_;
     std::minstd_rand random_;
-    http::Link snapshot_link_, opinion_link_;
-    http::Lines stream_;
-    const http::Lines::Take line_handler_;
+    http::Connection snapshot_link_, opinion_link_;
+    http::LineStream stream_;
+    const http::LineStream::LineHandler line_handler_;
     asio::steady_timer retry_timer_;
     std::deque<std::string> queue_;
     bool sending_ = false;
--- a/src/router/clients/clients.cpp
+++ b/src/router/clients/clients.cpp
@@ -207,10 +207,10 @@
     bool read_proxy_header(std::string_view bytes) {
         proxy_header_bytes_.append(bytes);
         proxy::Header header;
-        const proxy::Scan scanned = proxy::scan(proxy_header_bytes_, header);
-        if (scanned == proxy::Scan::more) return false;
-        if (scanned == proxy::Scan::bad) {
-            clients_.log_(Level::warning, "admission: invalid PROXY header: ", header.fault);
+        const proxy::ScanResult scanned = proxy::scan(proxy_header_bytes_, header);
+        if (scanned == proxy::ScanResult::incomplete) return false;
+        if (scanned == proxy::ScanResult::malformed) {
+            clients_.log_(Level::warning, "admission: invalid PROXY header: ", header.error);
             close();
             return false;
         }
--- a/src/router/clients/session.cpp
+++ b/src/router/clients/session.cpp
@@ -12,13 +12,13 @@
     }
     if (!accepts_input()) return Next::none;
     const resp::Bounds bounds{limits_.max_value_bytes, limits_.max_arguments, 1, limits_.max_resp_line_bytes};
-    const resp::Scan scanned = resp::scan(unread_, bounds, value_);
-    if (scanned == resp::Scan::more)
+    const resp::ScanResult scanned = resp::scan(unread_, bounds, value_);
+    if (scanned == resp::ScanResult::incomplete)
         return unread_.size() > limits_.max_command_bytes ? Next::malformed : Next::none;
-    if (scanned == resp::Scan::bad || value_.kind != resp::Kind::array || value_.items.empty())
+    if (scanned == resp::ScanResult::malformed || value_.kind != resp::Kind::array || value_.items.empty())
         return Next::malformed;
     for (const resp::Value &item : value_.items) {
-        if (item.kind != resp::Kind::bulk) return Next::malformed;
+        if (item.kind != resp::Kind::bulk_string) return Next::malformed;
         arguments_.push_back(item.body);
     }
     command_size_ = value_.raw.size();
--- a/src/router/hosts/answer_parser.cpp
+++ b/src/router/hosts/answer_parser.cpp
@@ -33,9 +33,9 @@
     const resp::Bounds bounds{limits_.max_value_bytes, limits_.max_arguments, limits_.max_nesting,
                               limits_.max_resp_line_bytes};
     resp::Value answer;
-    const resp::Scan scanned = resp::scan(received_, bounds, answer);
-    if (scanned == resp::Scan::more) return std::nullopt;
-    if (scanned == resp::Scan::bad) return PickResult{Outcome::error};
+    const resp::ScanResult scanned = resp::scan(received_, bounds, answer);
+    if (scanned == resp::ScanResult::incomplete) return std::nullopt;
+    if (scanned == resp::ScanResult::malformed) return PickResult{Outcome::error};
     PickResult result = read(answer);
     result.reusable = result.reusable && answer.raw.size() == received_.size();
     return result;
@@ -59,8 +59,8 @@
     if (answer.kind != resp::Kind::array || answer.items.size() != 3) return result;
     const resp::Value &value = answer.items[0];
     const resp::Value &report = answer.items[2];
-    const bool has_report = report.kind == resp::Kind::bulk;
-    if (value.kind != resp::Kind::bulk || answer.items[1].kind != resp::Kind::null ||
+    const bool has_report = report.kind == resp::Kind::bulk_string;
+    if (value.kind != resp::Kind::bulk_string || answer.items[1].kind != resp::Kind::null ||
         !(has_report || report.kind == resp::Kind::null))
         return result;
     result.outcome = Outcome::ok;
--- a/src/router/hosts/hosts.cpp
+++ b/src/router/hosts/hosts.cpp
@@ -1,6 +1,6 @@
 #include "router/hosts/hosts.hpp"
-#include "net/fuse.hpp"
-#include "net/quiet.hpp"
+#include "net/idle_socket.hpp"
+#include "net/socket_deadline.hpp"
 
 #include <algorithm>
 
@@ -36,7 +36,7 @@
         PickResult result = co_await attempt();
         owner_.unsent_.erase(this);
         if (sent_) owner_.record_key_ended(sticky_key_, build_);
-        deadline_timer_.put_out();
+        deadline_timer_.cancel();
         if (cancelled_ && result.outcome != Outcome::ok)
             result.outcome = sent_ ? Outcome::cancelled : Outcome::not_sent;
         const bool reusable = result.reusable && !cancelled_;
@@ -49,7 +49,7 @@
             co_await wait_timer_.async_wait(as_tuple(use_awaitable));
         }
         Hosts::HostState *const host = current_host();
-        if (reusable && host && quiet(*socket_))
+        if (reusable && host && is_open_and_idle(*socket_))
             owner_.return_connection(*host, std::move(socket_));
         else
             owner_.close(socket_);
@@ -122,9 +122,9 @@
             // The key has been sent to a newer build meanwhile, which may have answered it.
             if (owner_.is_open_at_newer_build(sticky_key_, build_))
                 co_return PickResult{Outcome::not_sent, {}, {}, true};
-            deadline_timer_.light(*socket_, deadline_);
+            deadline_timer_.set(*socket_, deadline_);
             if (co_await write()) break;
-            if (use_new || cancelled_ || deadline_timer_.blown())
+            if (use_new || cancelled_ || deadline_timer_.expired())
                 co_return PickResult{Outcome::connect_failed};
             owner_.close(socket_); // the host had closed it while idle; the command has not been sent in full
         }
@@ -169,9 +169,11 @@
         for (;;) {
             const auto [failed, size] =
                 co_await socket_->async_read_some(asio::buffer(buffer), as_tuple(use_awaitable));
-            if (!cancelled_ && !deadline_timer_.blown()) record_reuse_outcome(failed && !parser.has_input());
+            if (!cancelled_ && !deadline_timer_.expired())
+                record_reuse_outcome(failed && !parser.has_input());
             if (failed)
-                co_return PickResult{deadline_timer_.blown() ? Outcome::timed_out : Outcome::connection_lost};
+                co_return PickResult{deadline_timer_.expired() ? Outcome::timed_out
+                                                               : Outcome::connection_lost};
             if (auto result = parser.feed({buffer.data(), size})) co_return std::move(*result);
         }
     }
@@ -188,7 +190,7 @@
     std::optional<Clock::time_point> send_deadline_; // by which the command must be sent; none: no limit
     PickEndHandler on_end_;
     const bool decided_past_lease_; // the lease had expired when the pick was decided
-    Fuse deadline_timer_;
+    SocketDeadline deadline_timer_;
     asio::steady_timer wait_timer_; // cancelled when there is a connection or a reason to look again
     std::unique_ptr<Socket> socket_;
     std::uint64_t process_ = 0; // of the host when the pick was decided; 0: not listed
@@ -336,7 +338,7 @@
         std::unique_ptr<Socket> socket = std::move(chosen->socket);
         host.idle.erase(chosen);
         --idle_count_;
-        if (quiet(*socket)) return socket;
+        if (is_open_and_idle(*socket)) return socket;
         close(socket);
     }
     idle_time.reset();
@@ -369,10 +371,10 @@
 
 asio::awaitable<void> Hosts::connect(std::string id, std::uint64_t process, Address address) {
     auto socket = std::make_unique<Socket>(io_);
-    Fuse connect_timer(io_.get_executor());
-    connect_timer.light(*socket, config_.limits.connect_timeout);
+    SocketDeadline connect_timer(io_.get_executor());
+    connect_timer.set(*socket, config_.limits.connect_timeout);
     const auto [failed] = co_await socket->async_connect(address, as_tuple(use_awaitable));
-    connect_timer.put_out();
+    connect_timer.cancel();
     boost::system::error_code ignored;
     if (!failed) socket->set_option(asio::ip::tcp::no_delay(true), ignored);
     const auto found = hosts_.find(id);
@@ -382,7 +384,7 @@
         log_(Level::warning, "no descriptor to connect to a host, connections ", open_connections());
         co_return close(socket);
     }
-    if (failed || connect_timer.blown() || !is_current) {
+    if (failed || connect_timer.expired() || !is_current) {
         close(socket);
         if (is_current)
             if (const auto pick = pop_waiting_pick(found->second)) pick->fail_connect();
--- a/src/router/list/watch.cpp
+++ b/src/router/list/watch.cpp
@@ -47,7 +47,7 @@
 }
 
 void Watch::set_address(const Address &address) {
-    if (!link_.move_to(address)) return;
+    if (!link_.set_address(address)) return;
     log_(Level::info, "list: discovery is at ", address, " now");
     ++address_changes_;
     immediate_ = true;
@@ -176,14 +176,14 @@
 
 asio::awaitable<Watch::Result> Watch::send_query(const Query &query) {
     const Limits &limits = config_.limits;
-    http::Answer answer(limits.max_http_head_bytes, limits.max_list_body_bytes);
+    http::Response answer(limits.max_http_head_bytes, limits.max_list_body_bytes);
     const std::string path = query.full ? "/v1/endpoints"
                                         : "/v1/endpoints?from=" + std::to_string(version_) +
                                               "&hold_ms=" + std::to_string(query.wait.count());
     const auto started = Clock::now();
     const unsigned address_changes = address_changes_;
-    http::Call got = co_await make_call(query, path, answer);
-    const bool no_answer = got != http::Call::answered && !answer.begun() && !link_.timed_out();
+    http::CallResult got = co_await make_call(query, path, answer);
+    const bool no_answer = got != http::CallResult::answered && !answer.has_started() && !link_.timed_out();
     if (no_answer && address_changes == address_changes_ && Clock::now() - started < kStaleConnection)
         got = co_await make_call(query, path, answer);
     // An answer from the old address is ignored: only one from the new address renews the lease.
@@ -205,8 +205,8 @@
 
 // Makes one call and reports it to the lease, which counts on every call being reported: it is not retried
 // here.
-asio::awaitable<http::Call> Watch::make_call(const Query &query, const std::string &path,
-                                             http::Answer &answer) {
+asio::awaitable<http::CallResult> Watch::make_call(const Query &query, const std::string &path,
+                                                   http::Response &answer) {
     const Limits &limits = config_.limits;
     const Milliseconds timeout =
         query.immediate ? limits.list_full_timeout : query.wait + limits.list_poll_grace;
@@ -221,19 +221,19 @@
             update_lease();
         });
     }
-    const http::Call got = co_await link_.call("GET", path, "", timeout, false, answer);
+    const http::CallResult got = co_await link_.request("GET", path, "", timeout, false, answer);
     accepted_timer_.cancel();
     co_return got;
 }
 
 // Checks the answer, and applies it if it is complete and valid.
-Watch::Result Watch::handle_response(const Query &query, http::Call got, const http::Answer &answer) {
-    if (answer.headed() && answer.status() != 200)
+Watch::Result Watch::handle_response(const Query &query, http::CallResult got, const http::Response &answer) {
+    if (answer.has_status() && answer.status() != 200)
         return {Outcome::refused, "status " + std::to_string(answer.status())};
-    if (answer.bad() || (answer.begun() && !answer.done()))
+    if (answer.is_malformed() || (answer.has_started() && !answer.is_complete()))
         return {Outcome::malformed, "malformed or truncated HTTP response"};
-    if (got == http::Call::unsent) return {Outcome::unreachable, "connection failed"};
-    if (got == http::Call::unclear)
+    if (got == http::CallResult::not_sent) return {Outcome::unreachable, "connection failed"};
+    if (got == http::CallResult::unknown)
         return {link_.timed_out() ? Outcome::timed_out : Outcome::connection_lost, "no answer"};
     const json body = json::parse(answer.body(), nullptr, false);
     if (body.is_discarded()) return {Outcome::malformed, "not JSON"};
--- a/src/router/list/watch.hpp
+++ b/src/router/list/watch.hpp
@@ -8,7 +8,7 @@
 
 #include "membership/lease.hpp"
 #include "membership/view.hpp"
-#include "net/http/link.hpp"
+#include "net/http/connection.hpp"
 #include "router/list/discovery_response.hpp"
 
 #include <functional>
@@ -57,8 +57,9 @@
     asio::awaitable<void> run();
     Query next_query();
     asio::awaitable<Result> send_query(const Query &query);
-    asio::awaitable<http::Call> make_call(const Query &query, const std::string &path, http::Answer &answer);
-    Result handle_response(const Query &query, http::Call got, const http::Answer &answer);
+    asio::awaitable<http::CallResult> make_call(const Query &query, const std::string &path,
+                                                http::Response &answer);
+    Result handle_response(const Query &query, http::CallResult got, const http::Response &answer);
     void apply(const DiscoveryResponse &response);
     asio::awaitable<void> pause(Milliseconds max);
 
@@ -68,7 +69,7 @@
     asio::io_context &io_;
     const RouterConfig &config_;
     const Log &log_;
-    http::Link link_;
+    http::Connection link_;
     const ListHandler on_list_;
     const FailureHandler on_failure_;
     const LeaseHandler on_lease_change_;
--- a/src/router/rollout/stream_client.cpp
+++ b/src/router/rollout/stream_client.cpp
@@ -16,7 +16,7 @@
 asio::awaitable<void> StreamClient::run() {
     const Limits &limits = config_.limits;
     Milliseconds pause = limits.min_retry_pause;
-    const http::Lines::Take handle_line = [this](std::string_view line) {
+    const http::LineStream::LineHandler handle_line = [this](std::string_view line) {
         on_line_(read_stream_line(line, config_.names));
         return true;
     };
--- a/src/router/rollout/stream_client.hpp
+++ b/src/router/rollout/stream_client.hpp
@@ -2,7 +2,7 @@
 // silent for too long. Runs on the thread of the io_context; no function blocks.
 #pragma once
 
-#include "net/http/lines.hpp"
+#include "net/http/line_stream.hpp"
 #include "router/rollout/messages.hpp"
 
 #include <functional>
@@ -31,7 +31,7 @@
     std::function<void(const StreamLine &)> on_line_;
     std::minstd_rand random_;
     Address address_;
-    http::Lines lines_;
+    http::LineStream lines_;
     asio::steady_timer pause_timer_; // before the next connection
     bool address_changed_ = false; // since the last connection was opened
 };
--- a/src/router/rollout/vote_client.cpp
+++ b/src/router/rollout/vote_client.cpp
@@ -10,11 +10,11 @@
 asio::awaitable<void> VoteClient::run() {
     while (pending_) {
         const std::string vote = std::exchange(pending_, std::nullopt).value();
-        http::Answer answer(config_.limits.max_http_head_bytes, config_.limits.max_stream_line_bytes);
-        const http::Call call = co_await link_.call("POST", "/apis/fleet/opinions", vote,
-                                                    config_.limits.vote_timeout, false, answer);
+        http::Response answer(config_.limits.max_http_head_bytes, config_.limits.max_stream_line_bytes);
+        const http::CallResult call = co_await link_.request("POST", "/apis/fleet/opinions", vote,
+                                                             config_.limits.vote_timeout, false, answer);
         RolloutUpdate update{}; // invalid unless the platform confirms that it has counted the vote
-        if (call == http::Call::answered && answer.status() == 200) {
+        if (call == http::CallResult::answered && answer.status() == 200) {
             try {
                 update = read_rollout_update(json::parse(answer.body(), nullptr, false));
             } catch (const std::exception &error) {
--- a/src/router/rollout/vote_client.hpp
+++ b/src/router/rollout/vote_client.hpp
@@ -2,7 +2,7 @@
 // call to end only the latest is sent. Runs on the thread of the io_context; no function blocks.
 #pragma once
 
-#include "net/http/link.hpp"
+#include "net/http/connection.hpp"
 #include "router/rollout/messages.hpp"
 
 #include <functional>
@@ -22,7 +22,7 @@
     // `on_answer` is called with the answer; its `valid` is false if the vote was not counted or there is
     // none.
     void cast(int build, int stage, Verdict verdict);
-    void set_address(const Address &address) { link_.move_to(address); }
+    void set_address(const Address &address) { link_.set_address(address); }
 
   private:
     asio::awaitable<void> run();
@@ -30,7 +30,7 @@
     asio::io_context &io_;
     const RouterConfig &config_;
     const Log &log_;
-    http::Link link_;
+    http::Connection link_;
     std::function<void(const RolloutUpdate &)> on_answer_;
     std::optional<std::string> pending_; // the encoded vote to send next
     bool running_ = false;
--- a/standins/clients/clients.cpp
+++ b/standins/clients/clients.cpp
@@ -1,7 +1,7 @@
 #include "standins/clients/clients.hpp"
 
-#include "net/fuse.hpp"
 #include "net/resp/resp.hpp"
+#include "net/socket_deadline.hpp"
 
 #include <algorithm>
 #include <cerrno>
@@ -74,29 +74,29 @@
     asked_[at].rpc = id_of(at, tries);
     const std::string command =
         rpc_command(asked_[at].customer, asked_[at].method, key, asked_[at].rpc, patience_ms);
-    Fuse fuse(socket->get_executor());
-    if (impatient_) fuse.light(*socket, std::chrono::milliseconds(patience_ms));
+    SocketDeadline socket_deadline(socket->get_executor());
+    if (impatient_) socket_deadline.set(*socket, std::chrono::milliseconds(patience_ms));
     co_await asio::async_write(*socket, asio::buffer(command), as_tuple(use_awaitable));
     std::string heard, room(4096, '\0');
     resp::Value value;
-    resp::Scan scan = resp::Scan::more;
-    while (scan == resp::Scan::more) {
+    resp::ScanResult scan = resp::ScanResult::incomplete;
+    while (scan == resp::ScanResult::incomplete) {
         const auto [failed, size] =
             co_await socket->async_read_some(asio::buffer(room), as_tuple(use_awaitable));
         if (failed) break;
         heard.append(room, 0, size);
         scan = resp::scan(heard, {65536, 16, 4, 1024}, value);
     }
-    if (scan != resp::Scan::whole) {
+    if (scan != resp::ScanResult::complete) {
         --open_, --connections_;
-        asked_[at].answer = fuse.blown() ? "given up" : "lost";
+        asked_[at].answer = socket_deadline.expired() ? "given up" : "lost";
         co_return;
     }
-    fuse.put_out();
-    const std::string answer = value.kind == resp::Kind::bulk || value.kind == resp::Kind::array ? "served"
-                               : value.body.rfind("BUSY", 0) == 0 || value.raw.rfind("-BUSY", 0) == 0
-                                   ? "pushed back"
-                                   : "aborted";
+    socket_deadline.cancel();
+    const std::string answer =
+        value.kind == resp::Kind::bulk_string || value.kind == resp::Kind::array ? "served"
+        : value.body.rfind("BUSY", 0) == 0 || value.raw.rfind("-BUSY", 0) == 0   ? "pushed back"
+                                                                                 : "aborted";
     idle_.push_back(socket);
     if (answer == "pushed back" && tries < retries_) {
         const int told = heard.size() > 6 ? std::atoi(heard.c_str() + 6) : 0;
--- a/standins/host/host.cpp
+++ b/standins/host/host.cpp
@@ -39,7 +39,7 @@
         if (heard.empty()) begun = now_();
         heard.append(room, 0, size);
         resp::Value value;
-        while (resp::scan(heard, {65536, 16, 4, 1024}, value) == resp::Scan::whole) {
+        while (resp::scan(heard, {65536, 16, 4, 1024}, value) == resp::ScanResult::complete) {
             std::vector<std::string_view> words;
             for (const resp::Value &item : value.items) words.push_back(item.body);
             const std::string reply = answer(words, begun);
--- a/tests/admission/proxy_test.cpp
+++ b/tests/admission/proxy_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace pineridge;
 using proxy::Header;
-using proxy::Scan;
+using proxy::ScanResult;
 
 namespace {
 
@@ -28,19 +28,20 @@
 void parses(const std::string &bytes, const std::string &client) {
     for (const std::string &following : {std::string(), std::string("*1\r\n"), std::string("PROXY ")}) {
         Header header;
-        assert(proxy::scan(bytes + following, header) == Scan::whole && header.size == bytes.size());
+        assert(proxy::scan(bytes + following, header) == ScanResult::complete && header.size == bytes.size());
         assert(header.client ? header.client->to_string() == client : client.empty());
     }
     for (std::size_t size = 0; size < bytes.size(); ++size) {
         Header header;
-        assert(proxy::scan(std::string_view(bytes).substr(0, size), header) == Scan::more);
-        assert(size == 0 || proxy::begins_like_one(std::string_view(bytes).substr(0, size)));
+        assert(proxy::scan(std::string_view(bytes).substr(0, size), header) == ScanResult::incomplete);
+        assert(size == 0 || proxy::may_be_header(std::string_view(bytes).substr(0, size)));
     }
 }
 
 void is_rejected(const std::string &bytes, const std::string &reason) {
     Header header;
-    assert(proxy::scan(bytes, header) == Scan::bad && header.fault.find(reason) != std::string::npos);
+    assert(proxy::scan(bytes, header) == ScanResult::malformed &&
+           header.error.find(reason) != std::string::npos);
 }
 
 } // namespace
@@ -58,18 +59,18 @@
     parses(version_2(1, 0x31, std::string(216, 'u')), "");
     is_rejected("GET / HTTP/1.1\r\n", "no PROXY header");
     is_rejected("*4\r\n", "no PROXY header");
-    is_rejected("PROXY TCP4 1.2.3.4 5.6.7.8 65536 0\r\n", "not a port");
-    is_rejected("PROXY TCP4 1.2.3.4 5.6.7.8 01 0\r\n", "not a port");
-    is_rejected("PROXY TCP4 ::1 ::2 1 2\r\n", "not an address of its family");
+    is_rejected("PROXY TCP4 1.2.3.4 5.6.7.8 65536 0\r\n", "invalid port");
+    is_rejected("PROXY TCP4 1.2.3.4 5.6.7.8 01 0\r\n", "invalid port");
+    is_rejected("PROXY TCP4 ::1 ::2 1 2\r\n", "invalid address, or not of the stated family");
     is_rejected("PROXY TCP4 1.2.3.4 5.6.7.8 1\r\n", "two addresses");
     is_rejected("PROXY UDP4 1.2.3.4 5.6.7.8 1 2\r\n", "neither TCP4");
-    is_rejected("PROXY " + std::string(101, 'a'), "no end of line");
+    is_rejected("PROXY " + std::string(101, 'a'), "no line end within 107 bytes");
     is_rejected(version_2(2, 0x11, kIpv4Body), "neither LOCAL nor PROXY");
-    is_rejected(version_2(1, 0x51, kIpv4Body), "a family that there is not");
+    is_rejected(version_2(1, 0x51, kIpv4Body), "unknown address family or transport");
     is_rejected(version_2(1, 0x21, kIpv4Body), "too short");
-    is_rejected(version_2(1, 0x11, std::string(3000, 'x')), "over 2048");
+    is_rejected(version_2(1, 0x11, std::string(3000, 'x')), "longer than 2048");
     std::string unknown_version = version_2(1, 0x11, kIpv4Body);
     unknown_version[12] = 0x31;
-    is_rejected(unknown_version, "another version");
-    assert(!proxy::begins_like_one("*4\r\n") && !proxy::begins_like_one(""));
+    is_rejected(unknown_version, "unsupported version");
+    assert(!proxy::may_be_header("*4\r\n") && !proxy::may_be_header(""));
 }
--- a/tests/membership/tls_test.cpp
+++ b/tests/membership/tls_test.cpp
@@ -35,7 +35,7 @@
 
 std::string fault_of(const tls::Files &files) {
     try {
-        tls::make(files);
+        tls::make_engine_factory(files);
     } catch (const BadInput &bad) {
         return bad.what();
     }
@@ -58,15 +58,16 @@
 
 void noise_breaks_the_handshake() {
     const Folder folder;
-    const auto maker = tls::make({folder.put("ca", Authority("one").certificate()), "", "", ""});
-    const auto engine = maker->make("127.0.0.1", "h2");
-    assert(engine->output().size() > 100); // the client's first words
+    const auto maker =
+        tls::make_engine_factory({folder.put("ca", Authority("one").certificate()), "", "", ""});
+    const auto engine = maker->make_engine("127.0.0.1", "h2");
+    assert(engine->take_output().size() > 100); // the client's first words
     engine->send("kept until the handshake is done");
-    assert(engine->output().empty());
-    assert(!engine->feed("HTTP/1.1 400 Bad Request\r\n\r\n") && !engine->fault().empty());
-    const auto bounded = maker->make("127.0.0.1", "h2");
+    assert(engine->take_output().empty());
+    assert(!engine->feed("HTTP/1.1 400 Bad Request\r\n\r\n") && !engine->error().empty());
+    const auto bounded = maker->make_engine("127.0.0.1", "h2");
     for (int i = 0; i < 3; ++i) bounded->send(std::string(1 << 19, 'x'));
-    assert(bounded->fault() == "a handshake that does not end");
+    assert(bounded->error() == "over 1 MiB queued before the end of the handshake");
 }
 
 struct World : SourceWorld {
@@ -76,7 +77,7 @@
     }
     ~World() { stop(); }
     void begin(const tls::Files &files) {
-        maker = tls::make(files);
+        maker = tls::make_engine_factory(files);
         Plot plot;
         plot.endpoints = {read_address(registry.address(), "endpoint")};
         plot.prefix = "/hosts/";
@@ -90,7 +91,7 @@
     }
     standins::Secure secure;
     standins::Registry registry;
-    std::unique_ptr<tls::Maker> maker;
+    std::unique_ptr<tls::EngineFactory> maker;
 };
 
 void a_list_is_followed_with_certificates_on_both_sides() {
@@ -129,7 +130,7 @@
     const Authority theirs("theirs"), foreign("foreign");
     World world(theirs.issue("127.0.0.1"));
     world.begin({folder.put("ca", foreign.certificate()), "", "", ""});
-    world.until([&] { return world.said("TLS: its certificate: "); });
+    world.until([&] { return world.said("TLS: server certificate: "); });
     assert(!world.source->view().synced());
     folder.put("ca", "no longer PEM");
     world.until([&] { return world.said("registry.tls kept="); });
@@ -138,13 +139,13 @@
 
     World named(theirs.issue("elsewhere.example"));
     named.begin({folder.put("ca", theirs.certificate()), "", "", ""});
-    named.until([&] { return named.said("TLS: its certificate: IP address mismatch"); });
+    named.until([&] { return named.said("TLS: server certificate: IP address mismatch"); });
     World told(theirs.issue("elsewhere.example"));
     told.begin({folder.put("ca", theirs.certificate()), "", "", "elsewhere.example"});
     told.until_list("a+");
     World old(theirs.issue("127.0.0.1", -1));
     old.begin({folder.put("ca", theirs.certificate()), "", "", ""});
-    old.until([&] { return old.said("TLS: its certificate: certificate has expired"); });
+    old.until([&] { return old.said("TLS: server certificate: certificate has expired"); });
 }
 
 // Plaintext on the other side is no registry.
@@ -154,7 +155,7 @@
     standins::Registry plain;
     plain.put("/hosts/a", host_value("in_service"));
     World world(theirs.issue("127.0.0.1"));
-    world.maker = tls::make({folder.put("ca", theirs.certificate()), "", "", ""});
+    world.maker = tls::make_engine_factory({folder.put("ca", theirs.certificate()), "", "", ""});
     Plot plot;
     plot.endpoints = {read_address(plain.address(), "endpoint")};
     plot.ends = {500, 2000, 0};
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -264,7 +264,7 @@
     head[8] = static_cast<char>(frame.server.calls[1]);
     frame.follower.feed(head, 1);
     frame.follower.output();
-    assert(frame.follower.why() == "a frame that may not be");
+    assert(frame.follower.why() == "the peer violated the HTTP/2 protocol");
 
     World large;
     large.read_and_watch();
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -1,6 +1,6 @@
 // Bytes fed whole, in two parts at every place, and one by one come out alike.
 #undef NDEBUG
-#include "net/http/http.hpp"
+#include "net/http/response.hpp"
 #include "router/clients/session.hpp"
 #include "router/hosts/answer_parser.hpp"
 #include "router/hosts/idle_reuse_policy.hpp"
@@ -125,11 +125,12 @@
 }
 
 std::string http_answer(const std::vector<std::string> &parts) {
-    http::Answer answer(256, 64);
+    http::Response answer(256, 64);
     for (const std::string &part : parts) answer.feed(part);
-    return answer.bad() ? "bad"
-                        : std::to_string(answer.status()) + answer.body() +
-                              (answer.done() ? "done" : "more") + (answer.stays_open() ? "open" : "shut");
+    return answer.is_malformed()
+               ? "bad"
+               : std::to_string(answer.status()) + answer.body() + (answer.is_complete() ? "done" : "more") +
+                     (answer.keep_alive() ? "open" : "shut");
 }
 
 void http_answers_are_read_however_split() {
@@ -151,15 +152,15 @@
 }
 
 void a_body_without_a_size_ends_with_the_connection() {
-    http::Answer answer(256, 64);
+    http::Response answer(256, 64);
     answer.feed("HTTP/1.1 200 OK\r\n\r\nbo");
-    assert(!answer.done());
-    answer.end();
-    assert(answer.done() && !answer.stays_open());
-    http::Answer cut(256, 64);
+    assert(!answer.is_complete());
+    answer.end_of_stream();
+    assert(answer.is_complete() && !answer.keep_alive());
+    http::Response cut(256, 64);
     cut.feed("HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nbo");
-    cut.end();
-    assert(cut.bad());
+    cut.end_of_stream();
+    assert(cut.is_malformed());
 }
 
 void idle_connections_that_break_are_no_longer_trusted() {
--- a/tests/telling_test.cpp
+++ b/tests/telling_test.cpp
@@ -31,7 +31,7 @@
 
 std::vector<std::string_view> arguments_of(std::string_view command) {
     resp::Value value;
-    assert(resp::scan(command, {1000, 8, 1, 100}, value) == resp::Scan::whole);
+    assert(resp::scan(command, {1000, 8, 1, 100}, value) == resp::ScanResult::complete);
     std::vector<std::string_view> arguments;
     for (const resp::Value &item : value.items) arguments.push_back(item.body);
     return arguments;
