--- a/src/net/http2/session.cpp
+++ b/src/net/http2/session.cpp
@@ -37,7 +37,7 @@
         events.push_back(std::move(event));
     }
 
-    // Turns the complete messages received into events. Returns false for one that is compressed or too
+    // Turns the complete messages received buffer events. Returns false for one that is compressed or too
     // large.
     bool parse_messages(std::int32_t id, Call &call) {
         while (call.received.size() >= 5) {
@@ -102,13 +102,13 @@
             self->add_event({Event::Kind::pong});
         return 0;
     }
-    static ssize_t read_more(nghttp2_session *session, std::int32_t id, std::uint8_t *into, std::size_t size,
-                             std::uint32_t *flags, nghttp2_data_source *, void *user) {
+    static ssize_t read_more(nghttp2_session *session, std::int32_t id, std::uint8_t *buffer,
+                             std::size_t size, std::uint32_t *flags, nghttp2_data_source *, void *user) {
         Call *call = find_call(session, id, user);
         if (!call) return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
         const std::size_t size_sent = std::min(size, call->unsent.size() - call->sent);
         if (size_sent == 0 && !call->half_close) return NGHTTP2_ERR_DEFERRED;
-        std::memcpy(into, call->unsent.data() + call->sent, size_sent);
+        std::memcpy(buffer, call->unsent.data() + call->sent, size_sent);
         call->sent += size_sent;
         if (call->sent == call->unsent.size()) {
             call->unsent.clear();
