--- a/bench/membership_scale.cpp
+++ b/bench/membership_scale.cpp
@@ -92,7 +92,7 @@
                 plot.endpoints = {read_address(registry.address(), "endpoint")};
                 plot.follow = [](View &view, const std::string &authority) {
                     return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "",
-                                                            etcd::Times{});
+                                                            etcd::Timing{});
                 };
                 return plot;
             });
@@ -104,7 +104,7 @@
                 plot.endpoints = {read_address(asked->address(), "endpoint")};
                 plot.follow = [](View &view, const std::string &authority) {
                     return std::make_shared<blocking::Follower>(view, read_value, "hosts/", authority, "",
-                                                                blocking::Times{}, 3);
+                                                                blocking::Timing{}, 3);
                 };
                 return plot;
             });
--- a/fuzz/entries.cpp
+++ b/fuzz/entries.cpp
@@ -1,17 +1,17 @@
 // The body of a blocking query: the same entries however it is cut, and no more held than bounded.
-#include "membership/blocking/entries.hpp"
+#include "membership/blocking/entry_parser.hpp"
 #include "target.hpp"
 
 #include <cstdlib>
 
-using pineridge::membership::blocking::Entries;
 using pineridge::membership::blocking::Entry;
+using pineridge::membership::blocking::EntryParser;
 
 namespace {
 
 std::string read(std::string_view bytes, std::size_t piece) {
     std::string all;
-    Entries entries(
+    EntryParser entries(
         [&](const Entry &entry) {
             if (entry.key.empty() || entry.key.size() > 64 || entry.value.size() > 260 || entry.rev <= 0)
                 std::abort();
--- a/src/membership/access.cpp
+++ b/src/membership/access.cpp
@@ -38,20 +38,20 @@
     plot.tls = access.tls.get();
     if (from.kind == RegistrySettings::Kind::blocking) {
         plot.protocol = "http/1.1";
-        const blocking::Times times{from.query_wait, from.answer_timeout, from.query_gap,
-                                    from.max_leader_silence};
+        const blocking::Timing timing{from.query_wait, from.answer_timeout, from.query_gap,
+                                      from.max_leader_silence};
         plot.follow = [=, prefix = from.prefix, token = access.token](View &view,
                                                                       const std::string &authority) {
-            return std::make_shared<blocking::Follower>(view, read, prefix, authority, token, times, seed);
+            return std::make_shared<blocking::Follower>(view, read, prefix, authority, token, timing, seed);
         };
         return plot;
     }
-    const etcd::Times times{from.answer_timeout, from.progress_interval, from.watch_timeout,
-                            from.audit_interval};
+    const etcd::Timing timing{from.answer_timeout, from.progress_interval, from.watch_timeout,
+                              from.audit_interval};
     plot.follow = [=, prefix = from.prefix, token = access.token,
                    page = static_cast<std::size_t>(from.page_size)](View &view,
                                                                     const std::string &authority) {
-        return std::make_shared<etcd::Follower>(view, read, prefix, authority, token, times, page);
+        return std::make_shared<etcd::Follower>(view, read, prefix, authority, token, timing, page);
     };
     return plot;
 }
--- a/src/membership/blocking/entries.cpp
+++ b/src/membership/blocking/entry_parser.cpp
@@ -1,4 +1,4 @@
-#include "membership/blocking/entries.hpp"
+#include "membership/blocking/entry_parser.hpp"
 
 #include <boost/beast/core/detail/base64.hpp>
 #include <boost/json/basic_parser_impl.hpp>
@@ -105,7 +105,7 @@
         entry.value = entry.fault.empty() ? std::move(bytes) : std::string();
     }
 
-    Entries::Take take;
+    EntryParser::Take take;
     std::size_t most_value, most_key;
     int depth = 0;
     Field field = Field::other;
@@ -122,7 +122,7 @@
 
 } // namespace
 
-struct Entries::State {
+struct EntryParser::State {
     State(Take take, std::size_t most_value, std::size_t most_key)
         : parser(bounded(), Handler{std::move(take), most_value, most_key}) {}
     bool fed(bool more, std::string_view bytes) {
@@ -140,11 +140,11 @@
     std::string fault;
 };
 
-Entries::Entries(Take take, std::size_t most_value, std::size_t most_key)
+EntryParser::EntryParser(Take take, std::size_t most_value, std::size_t most_key)
     : state_(std::make_unique<State>(std::move(take), most_value, most_key)) {}
-Entries::~Entries() = default;
+EntryParser::~EntryParser() = default;
 
-bool Entries::feed(std::string_view bytes) {
+bool EntryParser::feed(std::string_view bytes) {
     if (!state_->fault.empty()) return false;
     if (state_->parser.done()) {
         if (bytes.find_first_not_of(" \t\r\n") == std::string_view::npos) return true;
@@ -154,8 +154,8 @@
     return state_->fed(true, bytes);
 }
 
-bool Entries::end() { return state_->fault.empty() && (state_->parser.done() || state_->fed(false, "")); }
+bool EntryParser::end() { return state_->fault.empty() && (state_->parser.done() || state_->fed(false, "")); }
 
-const std::string &Entries::fault() const { return state_->fault; }
+const std::string &EntryParser::fault() const { return state_->fault; }
 
 } // namespace pineridge::membership::blocking
--- a/src/membership/blocking/entries.hpp
+++ b/src/membership/blocking/entry_parser.hpp
@@ -18,13 +18,13 @@
     std::string fault{}; // why the value cannot be used
 };
 
-class Entries {
+class EntryParser {
   public:
     using Take = std::function<void(Entry)>;
 
-    Entries(Take take, std::size_t most_value = 64 * 1024, std::size_t most_key = 1024);
-    ~Entries();
-    Entries(const Entries &) = delete;
+    EntryParser(Take take, std::size_t most_value = 64 * 1024, std::size_t most_key = 1024);
+    ~EntryParser();
+    EntryParser(const EntryParser &) = delete;
 
     bool feed(std::string_view bytes); // false: not such an array, and `fault` says why
     bool end(); // true: the array was whole
--- a/src/membership/blocking/follower.cpp
+++ b/src/membership/blocking/follower.cpp
@@ -38,9 +38,9 @@
 } // namespace
 
 Follower::Follower(View &view, ReadValue read, std::string prefix, std::string authority, std::string token,
-                   Times times, std::uint64_t seed)
+                   Timing timing, std::uint64_t seed)
     : view_(view), read_(std::move(read)), prefix_(std::move(prefix)), authority_(std::move(authority)),
-      token_(std::move(token)), times_(times) {
+      token_(std::move(token)), timing_(timing) {
     chance_.state = seed * 2862933555777941757ULL + 3037000493ULL;
 }
 
@@ -57,7 +57,7 @@
     Ticks wait = 0;
     if (index_ > 0) {
         // What is doubted is read again as soon as that may count.
-        wait = view_.doubting() ? std::min(times_.wait, view_.confirms_in()) : times_.wait;
+        wait = view_.doubting() ? std::min(timing_.query_wait, view_.confirms_in()) : timing_.query_wait;
         wait = std::max<Ticks>(10, static_cast<Ticks>(wait * (1 + chance_.uniform() / 16)));
         path += "&index=" + std::to_string(index_) + "&wait=" + std::to_string((wait + 9) / 10) + "ms";
     }
@@ -70,7 +70,7 @@
     entries_.emplace([this](Entry entry) { take_entry(std::move(entry)); });
     view_.begin_read();
     // The server adds up to a sixteenth of the wait by itself.
-    due_ = now_ + wait + wait / 16 + times_.answer;
+    due_ = now_ + wait + wait / 16 + timing_.answer_timeout;
 }
 
 void Follower::take_entry(Entry entry) {
@@ -96,7 +96,7 @@
     if (answer_->status() != 200 && answer_->status() != 404)
         return fail("status " + std::to_string(answer_->status())), false;
     if (answer_->captured_header(kLeader) == "false") return fail("a member without a leader"), false;
-    if (number(answer_->captured_header(kContact), 0) * 10 > times_.contact)
+    if (number(answer_->captured_header(kContact), 0) * 10 > timing_.max_leader_silence)
         return fail("a member out of touch with its leader"), false;
     if (number(answer_->captured_header(kIndex), -1) < 0) return fail("an answer without an index"), false;
     return true;
@@ -138,8 +138,8 @@
     view_.end_read(index);
     if (view_.ask() == Ask::elsewhere) return fail("a member that lags");
     if (!stays) return fail("the member closes the connection");
-    ask_at_ = now_ + times_.gap;
-    due_ = ask_at_ + times_.answer;
+    ask_at_ = now_ + timing_.query_gap;
+    due_ = ask_at_ + timing_.answer_timeout;
 }
 
 void Follower::clock(Ticks now) {
--- a/src/membership/blocking/follower.hpp
+++ b/src/membership/blocking/follower.hpp
@@ -5,7 +5,7 @@
 // least that is asked with; each query's wait is spread so that many routers do not ask in step.
 #pragma once
 
-#include "membership/blocking/entries.hpp"
+#include "membership/blocking/entry_parser.hpp"
 #include "membership/peer.hpp"
 #include "membership/value.hpp"
 #include "membership/view.hpp"
@@ -16,19 +16,19 @@
 
 namespace pineridge::membership::blocking {
 
-struct Times { // ticks
-    Ticks wait = 50000; // of a query, spread by a sixteenth
-    Ticks answer = 20000; // for an answer, over the wait
-    Ticks gap =
+struct Timing { // ticks
+    Ticks query_wait = 50000; // of a query, spread by a sixteenth
+    Ticks answer_timeout = 20000; // for an answer, over the wait
+    Ticks query_gap =
         500; // between an answer and the next query: a list that changes all the time is not read in a loop
-    Ticks contact = 50000; // a member that has not heard its leader for so long is not believed
+    Ticks max_leader_silence = 50000; // a member that has not heard its leader for so long is not believed
 };
 
 class Follower final : public Peer {
   public:
     // The view outlives the follower: there is one follower a connection.
     Follower(View &view, ReadValue read, std::string prefix, std::string authority, std::string token,
-             Times times, std::uint64_t seed);
+             Timing timing, std::uint64_t seed);
 
     void begin(Ticks now) override;
     bool feed(std::string_view bytes, Ticks now) override;
@@ -45,10 +45,10 @@
     View &view_;
     const ReadValue read_;
     const std::string prefix_, authority_, token_;
-    const Times times_;
+    const Timing timing_;
     Pcg32 chance_;
     std::optional<http::Response> answer_; // to the query under way
-    std::optional<Entries> entries_;
+    std::optional<EntryParser> entries_;
     std::vector<Record> page_;
     std::int64_t index_ = 0; // 0: the next query does not block
     bool went_back_ = false;
--- a/src/membership/etcd/follower.cpp
+++ b/src/membership/etcd/follower.cpp
@@ -19,9 +19,9 @@
 } // namespace
 
 Follower::Follower(View &view, ReadValue read, std::string prefix, std::string authority, std::string token,
-                   Times times, std::size_t page)
+                   Timing timing, std::size_t page)
     : view_(view), read_(std::move(read)), prefix_(std::move(prefix)), end_(end_of(prefix_)),
-      authority_(std::move(authority)), token_(std::move(token)), times_(times), page_(page) {}
+      authority_(std::move(authority)), token_(std::move(token)), timing_(timing), page_(page) {}
 
 void Follower::begin(Ticks now) {
     now_ = heard_at_ = now;
@@ -56,7 +56,7 @@
     request.set_revision(read_rev_); // 0 for the first page: what the answer stands at holds for the rest
     page_call_ = session_.start_call("/etcdserverpb.KV/Range", authority_, token_);
     session_.send(page_call_, request.SerializeAsString(), true);
-    due_ = now_ + times_.answer;
+    due_ = now_ + timing_.answer_timeout;
 }
 
 void Follower::open_watch() {
@@ -70,7 +70,7 @@
     create.set_fragment(true);
     watch_call_ = session_.start_call("/etcdserverpb.Watch/Watch", authority_, token_);
     session_.send(watch_call_, request.SerializeAsString(), false);
-    due_ = now_ + times_.answer;
+    due_ = now_ + timing_.answer_timeout;
 }
 
 void Follower::clock(Ticks now) {
@@ -81,10 +81,10 @@
         return;
     }
     // Stops a watch that is open and dead, or stuck behind answered pings, from hiding drains.
-    if (now_ - heard_at_ >= times_.quiet) return fail("a watch that is quiet");
+    if (now_ - heard_at_ >= timing_.watch_timeout) return fail("a watch that is quiet");
     if (now_ >= progress_at_) ask_progress();
     if (now_ >= audit_at_) audit();
-    due_ = std::min({heard_at_ + times_.quiet, progress_at_, audit_at_});
+    due_ = std::min({heard_at_ + timing_.watch_timeout, progress_at_, audit_at_});
     go_on();
 }
 
@@ -93,12 +93,12 @@
     request.mutable_progress_request();
     session_.send(watch_call_, request.SerializeAsString(), false);
     session_.ping();
-    progress_at_ = now_ + times_.progress;
+    progress_at_ = now_ + timing_.progress_interval;
 }
 
 // The key written last, and how many there are: has the watch told of it?
 void Follower::audit() {
-    audit_at_ = now_ + times_.audit;
+    audit_at_ = now_ + timing_.audit_interval;
     if (audit_call_ >= 0) return fail("no answer to a look");
     etcdserverpb::RangeRequest request;
     request.set_key(prefix_);
@@ -194,8 +194,8 @@
     if (told.canceled()) return fail("the watch was cancelled: " + told.cancel_reason());
     if (told.created()) {
         doing_ = Doing::watching;
-        progress_at_ = now_ + times_.progress;
-        audit_at_ = now_ + times_.audit;
+        progress_at_ = now_ + timing_.progress_interval;
+        audit_at_ = now_ + timing_.audit_interval;
         if (told.header().revision() < view_.revision()) {
             view_.member_at(told.header().revision());
             return go_on();
--- a/src/membership/etcd/follower.hpp
+++ b/src/membership/etcd/follower.hpp
@@ -11,18 +11,18 @@
 
 namespace pineridge::membership::etcd {
 
-struct Times { // ticks
-    Ticks answer = 20000; // for a page, or for the watch to stand
-    Ticks progress = 10000; // between asking for progress
-    Ticks quiet = 25000; // without a word after that: the watch is dead although open
-    Ticks audit = 100000; // between looks whether anything was missed
+struct Timing { // ticks
+    Ticks answer_timeout = 20000; // for a page, or for the watch to stand
+    Ticks progress_interval = 10000; // between asking for progress
+    Ticks watch_timeout = 25000; // without a word after that: the watch is dead although open
+    Ticks audit_interval = 100000; // between looks whether anything was missed
 };
 
 class Follower final : public GrpcPeer {
   public:
     // The view outlives the follower: there is one follower a connection. `read` makes a host of a value.
     Follower(View &view, ReadValue read, std::string prefix, std::string authority, std::string token,
-             Times times, std::size_t page = 500);
+             Timing timing, std::size_t page = 500);
 
     void begin(Ticks now) override;
     void clock(Ticks now) override;
@@ -45,7 +45,7 @@
     View &view_;
     const ReadValue read_;
     const std::string prefix_, end_, authority_, token_;
-    const Times times_;
+    const Timing timing_;
     const std::size_t page_;
     Doing doing_ = Doing::nothing;
     std::int32_t page_call_ = -1, watch_call_ = -1, audit_call_ = -1;
--- a/src/membership/etcd/registrar.cpp
+++ b/src/membership/etcd/registrar.cpp
@@ -4,14 +4,15 @@
 
 namespace pineridge::membership::etcd {
 
-Registrar::Registrar(Lease &lease, OwnKey own, std::string authority, std::string token, bool leaving)
-    : lease_(lease), own_(std::move(own)), authority_(std::move(authority)), token_(std::move(token)),
-      leaving_(leaving) {}
+Registrar::Registrar(LeaseState &lease, LeasedKey key, std::string authority, std::string token,
+                     bool deregistering)
+    : lease_(lease), key_(std::move(key)), authority_(std::move(authority)), token_(std::move(token)),
+      deregistering_(deregistering) {}
 
 std::int32_t Registrar::call(const char *method, const google::protobuf::MessageLite &message) {
     const std::int32_t id = session_.start_call(method, authority_, token_);
     session_.send(id, message.SerializeAsString(), true);
-    due_ = now_ + own_.answer;
+    due_ = now_ + key_.answer_timeout;
     return id;
 }
 
@@ -20,8 +21,8 @@
     go_on();
 }
 
-void Registrar::leave() {
-    if (std::exchange(leaving_, true)) return;
+void Registrar::deregister() {
+    if (std::exchange(deregistering_, true)) return;
     if (keep_call_ >= 0) session_.cancel(std::exchange(keep_call_, -1));
     go_on();
 }
@@ -31,10 +32,10 @@
     if (dead() || over_ || grant_call_ >= 0 || put_call_ >= 0 || look_call_ >= 0 || delete_call_ >= 0 ||
         revoke_call_ >= 0)
         return;
-    if (leaving_) {
-        if (!deleted_ && lease_.placed) {
+    if (deregistering_) {
+        if (!deleted_ && lease_.key_written) {
             etcdserverpb::DeleteRangeRequest request;
-            request.set_key(own_.key);
+            request.set_key(key_.key);
             delete_call_ = call("/etcdserverpb.KV/DeleteRange", request);
         } else if (lease_.id != 0) {
             etcdserverpb::LeaseRevokeRequest request;
@@ -52,12 +53,12 @@
     } else if (lease_.id == 0) {
         looked_ = true;
         etcdserverpb::LeaseGrantRequest request;
-        request.set_ttl(own_.life_s);
+        request.set_ttl(key_.ttl_s);
         grant_call_ = call("/etcdserverpb.Lease/LeaseGrant", request);
-    } else if (!lease_.placed) {
+    } else if (!lease_.key_written) {
         etcdserverpb::PutRequest request;
-        request.set_key(own_.key);
-        request.set_value(own_.value);
+        request.set_key(key_.key);
+        request.set_value(key_.value);
         request.set_lease(lease_.id);
         put_call_ = call("/etcdserverpb.KV/Put", request);
     } else if (keep_call_ < 0) {
@@ -76,8 +77,8 @@
     etcdserverpb::LeaseKeepAliveRequest request;
     request.set_id(lease_.id);
     session_.send(keep_call_, request.SerializeAsString(), false);
-    if (due_ < 0) due_ = now_ + own_.answer; // of the eldest renewal without an answer
-    renew_at_ = now_ + std::max<Ticks>(1, own_.life_s * 10000 / 3);
+    if (due_ < 0) due_ = now_ + key_.answer_timeout; // of the eldest renewal without an answer
+    renew_at_ = now_ + std::max<Ticks>(1, key_.ttl_s * 10000 / 3);
 }
 
 void Registrar::take(const http2::Event &event) {
@@ -104,13 +105,13 @@
         if (!sound)
             lease_ = {};
         else
-            lease_.placed = true;
+            lease_.key_written = true;
         return go_on();
     }
     if (event.call == delete_call_) {
         delete_call_ = due_ = -1;
         deleted_ = sound;
-        lease_.placed = lease_.placed && !sound;
+        lease_.key_written = lease_.key_written && !sound;
         if (!sound) return fail("the key is not taken away: " + event.text);
         return go_on();
     }
--- a/src/membership/etcd/registrar.hpp
+++ b/src/membership/etcd/registrar.hpp
@@ -8,28 +8,28 @@
 
 namespace pineridge::membership::etcd {
 
-struct OwnKey {
+struct LeasedKey {
     std::string key, value;
-    std::int64_t life_s = 10; // of the lease
-    Ticks answer = 20000; // for each answer
+    std::int64_t ttl_s = 10; // of the lease
+    Ticks answer_timeout = 20000; // for each answer
 };
 
 class Registrar final : public GrpcPeer {
   public:
     // What outlives a connection: a new one goes on with the same lease while it stands.
-    struct Lease {
+    struct LeaseState {
         std::int64_t id = 0; // 0: none
-        bool placed = false; // the key stands under it
+        bool key_written = false; // the key stands under it
     };
 
-    // The lease's state outlives the registrar. `leaving` from the start: only takes the key away.
-    Registrar(Lease &lease, OwnKey own, std::string authority, std::string token, bool leaving);
+    // The lease's state outlives the registrar. `deregistering` from the start: only takes the key away.
+    Registrar(LeaseState &lease, LeasedKey key, std::string authority, std::string token, bool deregistering);
 
     void begin(Ticks now) override;
     void clock(Ticks now) override;
     bool over() const override { return over_; }
 
-    void leave(); // the key is taken away; `over` once that is answered
+    void deregister(); // the key is taken away; `over` once that is answered
 
   private:
     void go_on();
@@ -37,13 +37,13 @@
     void take_message(const http2::Event &event);
     std::int32_t call(const char *method, const google::protobuf::MessageLite &message);
 
-    Lease &lease_;
-    const OwnKey own_;
+    LeaseState &lease_;
+    const LeasedKey key_;
     const std::string authority_, token_;
     std::int32_t grant_call_ = -1, put_call_ = -1, look_call_ = -1, keep_call_ = -1, delete_call_ = -1,
                  revoke_call_ = -1;
     Ticks renew_at_ = -1, due_ = -1;
-    bool leaving_, deleted_ = false, over_ = false;
+    bool deregistering_, deleted_ = false, over_ = false;
     bool looked_ = false; // whether a lease from before this connection still stands
 };
 
--- a/src/membership/registration.cpp
+++ b/src/membership/registration.cpp
@@ -7,7 +7,7 @@
 using asio::as_tuple;
 using asio::use_awaitable;
 
-Registration::Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::OwnKey own,
+Registration::Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::LeasedKey own,
                            std::string token, tls::EngineFactory *tls, const Limits &limits, const Log &log,
                            std::uint64_t seed, Pump::Clock clock)
     : io_(io), endpoints_(std::move(endpoints)), own_(std::move(own)), token_(std::move(token)), log_(log),
@@ -19,10 +19,10 @@
 void Registration::leave(std::function<void()> done) {
     if (std::exchange(leaving_, true)) return;
     done_ = std::move(done);
-    if (registrar_) registrar_->leave();
+    if (registrar_) registrar_->deregister();
     pump_.kick();
     timer_.cancel();
-    last_.expires_after(std::chrono::microseconds(own_.answer * 100));
+    last_.expires_after(std::chrono::microseconds(own_.answer_timeout * 100));
     last_.async_wait([this](boost::system::error_code failed) {
         if (failed || !done_) return;
         // The lease takes the key away when it runs out.
@@ -52,7 +52,7 @@
         address << endpoints_[at];
         registrar_ = std::make_shared<etcd::Registrar>(lease_, own_, address.str(), token_, leaving_);
         const std::string why = co_await pump_.run(endpoints_[at], registrar_, [this, at] {
-            if (!lease_.placed) return;
+            if (!lease_.key_written) return;
             ends_.good(at);
             if (!std::exchange(said_, true))
                 log_.event(Level::info, "registry.own", {{"key", own_.key}, {"placed", "yes"}});
--- a/src/membership/registration.hpp
+++ b/src/membership/registration.hpp
@@ -12,14 +12,14 @@
 class Registration {
   public:
     // What is handed over by reference must outlive the registration. `tls` may be none. One thread.
-    Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::OwnKey own, std::string token,
+    Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::LeasedKey own, std::string token,
                  tls::EngineFactory *tls, const Limits &limits, const Log &log, std::uint64_t seed,
                  Pump::Clock clock);
 
     void begin();
     // Takes the key away, within the told time for an answer at most; `done` is called once, then or after.
     void leave(std::function<void()> done);
-    bool placed() const { return lease_.placed; }
+    bool placed() const { return lease_.key_written; }
 
   private:
     asio::awaitable<void> run();
@@ -27,14 +27,14 @@
 
     asio::io_context &io_;
     const std::vector<Address> endpoints_;
-    const etcd::OwnKey own_;
+    const etcd::LeasedKey own_;
     const std::string token_;
     const Log &log_;
     const Pump::Clock clock_;
     Endpoints ends_;
     Pump pump_;
     asio::steady_timer timer_, last_;
-    etcd::Registrar::Lease lease_;
+    etcd::Registrar::LeaseState lease_;
     std::shared_ptr<etcd::Registrar> registrar_;
     std::function<void()> done_;
     bool leaving_ = false, stopped_ = false, said_ = false;
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -432,9 +432,9 @@
     listen << config_.listen;
     const json value{{"name", config_.name}, {"listen", listen.str()}, {"started_ms", current_time() / 10}};
     registration_.emplace(io_, access.endpoints,
-                          membership::etcd::OwnKey{config_.registry->registration_key, value.dump(),
-                                                   config_.registry->registration_ttl_s,
-                                                   config_.registry->answer_timeout},
+                          membership::etcd::LeasedKey{config_.registry->registration_key, value.dump(),
+                                                      config_.registry->registration_ttl_s,
+                                                      config_.registry->answer_timeout},
                           access.token, access.tls.get(), config_.limits, log_, config_.seed,
                           [this] { return current_time(); });
 }
--- a/tests/membership/blocking_test.cpp
+++ b/tests/membership/blocking_test.cpp
@@ -18,7 +18,7 @@
 // "KEY@REV=VALUE" or "KEY@REV!FAULT" of each entry.
 std::string entries_of(const std::vector<std::string> &parts, std::string &fault) {
     std::string all;
-    blocking::Entries entries(
+    blocking::EntryParser entries(
         [&](const blocking::Entry &entry) {
             all += entry.key + "@" + std::to_string(entry.rev) +
                    (entry.fault.empty() ? "=" + entry.value : "!" + entry.fault) + " ";
@@ -141,7 +141,7 @@
         plot.view.lag_for = 6000;
         plot.follow = [](View &view, const std::string &authority) {
             return std::make_shared<blocking::Follower>(view, read_value, "hosts/", authority, "",
-                                                        blocking::Times{5000, 3000, 100, 50000}, 5);
+                                                        blocking::Timing{5000, 3000, 100, 50000}, 5);
         };
         begin(std::move(plot));
         until_list("a+b+c+d+");
--- a/tests/membership/fleet.hpp
+++ b/tests/membership/fleet.hpp
@@ -36,7 +36,7 @@
             plot.quiet = 0;
             plot.follow = [](View &view, const std::string &authority) {
                 return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "",
-                                                        etcd::Times{200000, 10000, 100000, 1000000}, 500);
+                                                        etcd::Timing{200000, 10000, 100000, 1000000}, 500);
             };
             auto &source = loop.sources.emplace_back();
             source = std::make_unique<Source>(
--- a/tests/membership/own_key_test.cpp
+++ b/tests/membership/own_key_test.cpp
@@ -16,12 +16,13 @@
 struct World {
     World() : log(logged, "n1", Level::info) {
         std::vector<Address> endpoints{read_address(registry.address(), "endpoint")};
-        own.emplace(io, endpoints, etcd::OwnKey{kKey, "here", 1, 5000}, "", nullptr, limits, log, 7, [this] {
-            return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() -
-                                                                         began)
-                       .count() /
-                   100;
-        });
+        own.emplace(io, endpoints, etcd::LeasedKey{kKey, "here", 1, 5000}, "", nullptr, limits, log, 7,
+                    [this] {
+                        return std::chrono::duration_cast<std::chrono::microseconds>(
+                                   std::chrono::steady_clock::now() - began)
+                                   .count() /
+                               100;
+                    });
     }
     ~World() {
         if (!left) own->leave([this] { left = true; });
--- a/tests/membership/source_test.cpp
+++ b/tests/membership/source_test.cpp
@@ -38,7 +38,7 @@
         plot.view.lag_for = 8000;
         plot.follow = [](View &view, const std::string &authority) {
             return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "",
-                                                    etcd::Times{5000, 1000, 4000, 3000}, 2);
+                                                    etcd::Timing{5000, 1000, 4000, 3000}, 2);
         };
         SourceWorld::begin(std::move(plot));
     }
--- a/tests/membership/tls_test.cpp
+++ b/tests/membership/tls_test.cpp
@@ -85,7 +85,7 @@
         plot.tls = maker.get();
         plot.follow = [](View &view, const std::string &authority) {
             return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "token-of-ours",
-                                                    etcd::Times{5000, 1000, 4000, 3000}, 2);
+                                                    etcd::Timing{5000, 1000, 4000, 3000}, 2);
         };
         SourceWorld::begin(std::move(plot));
     }
@@ -161,7 +161,8 @@
     plot.ends = {500, 2000, 0};
     plot.tls = world.maker.get();
     plot.follow = [](View &view, const std::string &authority) {
-        return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "", etcd::Times{}, 2);
+        return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "", etcd::Timing{},
+                                                2);
     };
     world.SourceWorld::begin(std::move(plot));
     world.until([&] { return world.said("why=\"TLS: "); });
