--- a/fuzz/follower.cpp
+++ b/fuzz/follower.cpp
@@ -1,5 +1,5 @@
-// Bytes of an etcd member, first as HTTP/2 and then, in gRPC's form, as pages and watch words: bounded and
-// without a crash, and a view that lists no host that it does not hold.
+// Fuzz target: the etcd follower and the view survive any bytes from a registry member, and the view lists
+// exactly the hosts that it holds. The bytes are read first as HTTP/2, then as a sequence of watch messages.
 #include "membership/etcd/follower.hpp"
 #include "target.hpp"
 
@@ -31,15 +31,15 @@
             follower.output();
         follower.clock(100000);
     }
-    // The messages by themselves, each led by its length, into a view.
+    // Watch messages without their frames, each after a byte with its length, applied to a view.
     View view{{}};
     view.begin_read();
     std::vector<Record> records;
     for (std::size_t at = 0; at < bytes.size();) {
-        const std::size_t most = std::min<std::size_t>(data[at], bytes.size() - at - 1);
-        etcdserverpb::WatchResponse told;
-        if (told.ParseFromArray(data + at + 1, static_cast<int>(most)))
-            for (const auto &event : told.events()) {
+        const std::size_t message_size = std::min<std::size_t>(data[at], bytes.size() - at - 1);
+        etcdserverpb::WatchResponse response;
+        if (response.ParseFromArray(data + at + 1, static_cast<int>(message_size)))
+            for (const auto &event : response.events()) {
                 Record record =
                     make_record(read_host, event.kv().key(), event.kv().mod_revision(), event.kv().value());
                 record.gone = event.type() == etcdserverpb::Event::DELETE;
@@ -48,12 +48,12 @@
                 else
                     view.page({record});
             }
-        at += most + 1;
+        at += message_size + 1;
     }
     view.end_read(1 << 20);
-    std::size_t listed = 0;
+    std::size_t listed_hosts = 0;
     while (const auto listing = view.take())
-        for (const Member &member : listing->members) listed += member.entry.status != HostStatus::gone;
-    if (listed != view.size()) std::abort();
+        for (const Member &member : listing->members) listed_hosts += member.entry.status != HostStatus::gone;
+    if (listed_hosts != view.size()) std::abort();
     return 0;
 }
--- a/fuzz/known_list.cpp
+++ b/fuzz/known_list.cpp
@@ -1,4 +1,5 @@
-// A last known list on disk: whatever stands in the file, a list that is taken packs to the same bytes.
+// Fuzz target: the reader of the cached host list on disk. Any file that it accepts is encoded to the same
+// list again.
 #include "membership/cache.hpp"
 #include "target.hpp"
 
@@ -9,15 +10,16 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, std::size_t size) {
     const std::string bytes(bytes_of(data, size));
     std::string why;
-    if (const auto known = unpack(bytes, "/hosts/", why)) {
-        const auto again = unpack(pack(*known, "/hosts/"), "/hosts/", why);
-        if (!again || again->pairs != known->pairs || again->rev != known->rev) std::abort();
+    if (const auto decoded = unpack(bytes, "/hosts/", why)) {
+        const auto decoded_again = unpack(pack(*decoded, "/hosts/"), "/hosts/", why);
+        if (!decoded_again || decoded_again->pairs != decoded->pairs || decoded_again->rev != decoded->rev)
+            std::abort();
     } else if (why.empty()) {
         std::abort();
     }
-    // The same behind a sound checksum: what lies past that guard is tried too.
-    Known one{7, 8, {{"/hosts/a", bytes}, {bytes.substr(0, 100), "v"}}};
-    const auto back = unpack(pack(one, "/hosts/"), "/hosts/", why);
-    if (!back || back->pairs != one.pairs) std::abort();
+    // The same input behind a valid checksum also reaches the code after the checksum test.
+    Known list{7, 8, {{"/hosts/a", bytes}, {bytes.substr(0, 100), "v"}}};
+    const auto unpacked = unpack(pack(list, "/hosts/"), "/hosts/", why);
+    if (!unpacked || unpacked->pairs != list.pairs) std::abort();
     return 0;
 }
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,5 +1,6 @@
-// Plays a corpus through a fuzz target: each file whole, each cut of it, and each with one byte changed, in a
-// fixed order. Names what it was at when the target ends the program.
+// Replays a corpus through a fuzz target: each file whole, truncated at evenly spread places, and with one
+// byte changed, always in the same order. It prints each file name before the file is replayed, so that a
+// crash shows its input.
 #include "target.hpp"
 
 #include <algorithm>
@@ -12,10 +13,10 @@
 
 namespace {
 
-constexpr std::size_t kMostCuts = 400; // of one file, evenly spread
+constexpr std::size_t kMaxCutsPerFile = 400;
 
-void play(const std::string &bytes) {
-    // A copy of its own size: what reads past its end is seen by a sanitizer.
+void replay(const std::string &bytes) {
+    // A copy of exactly this size lets a sanitizer detect reads past its end.
     const std::vector<std::uint8_t> copy(bytes.begin(), bytes.end());
     LLVMFuzzerTestOneInput(copy.data(), copy.size());
 }
@@ -27,22 +28,22 @@
     std::vector<std::filesystem::path> files;
     for (const auto &entry : std::filesystem::directory_iterator(argv[1])) files.push_back(entry.path());
     std::sort(files.begin(), files.end());
-    std::size_t played = 0;
+    std::size_t variants = 0;
     for (const auto &path : files) {
         std::ostringstream text;
         text << std::ifstream(path, std::ios::binary).rdbuf();
         const std::string bytes = text.str();
         std::cerr << path.filename().string() << std::endl;
-        play(bytes);
-        const std::size_t step = std::max<std::size_t>(1, bytes.size() / kMostCuts);
+        replay(bytes);
+        const std::size_t step = std::max<std::size_t>(1, bytes.size() / kMaxCutsPerFile);
         for (std::size_t at = 0; at < bytes.size(); at += step) {
-            play(bytes.substr(0, at));
-            std::string other = bytes;
-            other[at] = static_cast<char>(other[at] ^ (1 << at % 8));
-            play(other);
-            played += 2;
+            replay(bytes.substr(0, at));
+            std::string changed = bytes;
+            changed[at] = static_cast<char>(changed[at] ^ (1 << at % 8));
+            replay(changed);
+            variants += 2;
         }
     }
-    std::cout << files.size() << " files, " << played << " variants\n";
+    std::cout << files.size() << " files, " << variants << " variants\n";
     return files.empty() ? 1 : 0;
 }
--- a/fuzz/target.hpp
+++ b/fuzz/target.hpp
@@ -1,5 +1,5 @@
-// What each fuzz target gives: libFuzzer calls it with bytes of its own; in CI main() of replay.cpp calls it
-// with those of a fixed corpus and with every cut of them.
+// The entry point of each fuzz target. libFuzzer calls it with generated inputs; in CI, main() of replay.cpp
+// calls it with the files of a fixed corpus and with variants of them.
 #pragma once
 
 #include <cstddef>
--- a/src/membership/blocking/entry_parser.hpp
+++ b/src/membership/blocking/entry_parser.hpp
@@ -1,6 +1,8 @@
-// The body of a blocking query, read as it comes: a JSON array of objects with Key, Value (base64) and
-// ModifyIndex, as Consul's KV API tells them. Whole bodies are never held: a value or a key beyond its bound
-// is passed over while it comes, and its entry told as one that cannot be read.
+// Parses the body of an answer to a blocking query incrementally: a JSON array
+// of objects with the fields Key, Value (base64) and ModifyIndex, as Consul's
+// KV API returns it. The parser never buffers a whole body: a value longer than
+// its limit is skipped while it arrives, and its entry carries an error
+// instead. A key longer than its limit makes the whole body invalid.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +15,27 @@
 
 struct Entry {
     std::string key;
-    std::int64_t rev = 0;
-    std::string value{}; // as bytes
-    std::string fault{}; // why the value cannot be used
+    std::int64_t modify_index = 0;
+    std::string value{}; // decoded from base64
+    std::string error{}; // why the value is unusable; empty if it is usable
 };
 
 class EntryParser {
   public:
-    using Take = std::function<void(Entry)>;
+    using EntryHandler = std::function<void(Entry)>;
 
-    EntryParser(Take take, std::size_t most_value = 64 * 1024, std::size_t most_key = 1024);
+    // Calls `on_entry` for each entry as soon as it is complete.
+    EntryParser(EntryHandler on_entry, std::size_t max_value_bytes = 64 * 1024,
+                std::size_t max_key_bytes = 1024);
     ~EntryParser();
     EntryParser(const EntryParser &) = delete;
 
-    bool feed(std::string_view bytes); // false: not such an array, and `fault` says why
-    bool end(); // true: the array was whole
-    const std::string &fault() const;
+    // Returns false if the body is not such an array; `error` then gives the
+    // reason.
+    bool feed(std::string_view bytes);
+    // Ends the body. Returns true if the array was complete.
+    bool end();
+    const std::string &error() const;
 
     struct State;
 
--- a/src/membership/blocking/follower.cpp
+++ b/src/membership/blocking/follower.cpp
@@ -7,33 +7,37 @@
 
 namespace {
 
-constexpr std::size_t kMostHead = 16 * 1024;
-constexpr std::size_t kMostBody = 256u << 20; // read as it comes, never held
-constexpr std::size_t kPage = 256; // entries handed to the view at once
+constexpr std::size_t kMaxHeadBytes = 16 * 1024;
+constexpr std::size_t kMaxBodyBytes = 256u << 20; // parsed as it arrives, never buffered whole
+constexpr std::size_t kPageEntries = 256; // passed to the view at a time
 
-// As a URL's path wants them; slashes part keys and stay.
-std::string escaped(const std::string &text) {
+// Percent-encodes a key prefix for the path of a URL. Slashes separate the parts of a key and are kept.
+std::string percent_encode(const std::string &text) {
     static constexpr char kHex[] = "0123456789ABCDEF";
-    std::string all;
-    for (const unsigned char one : text) {
-        const bool plain = (one >= 'a' && one <= 'z') || (one >= 'A' && one <= 'Z') ||
-                           (one >= '0' && one <= '9') ||
-                           std::string_view("-._~/").find(one) != std::string::npos;
-        if (plain)
-            all += static_cast<char>(one);
-        else
-            (all += '%') += kHex[one >> 4], all += kHex[one & 15];
+    std::string encoded;
+    for (const unsigned char byte : text) {
+        const bool unreserved = (byte >= 'a' && byte <= 'z') || (byte >= 'A' && byte <= 'Z') ||
+                                (byte >= '0' && byte <= '9') ||
+                                std::string_view("-._~/").find(byte) != std::string::npos;
+        if (unreserved)
+            encoded += static_cast<char>(byte);
+        else {
+            (encoded += '%') += kHex[byte >> 4];
+            encoded += kHex[byte & 15];
+        }
     }
-    return all;
+    return encoded;
 }
 
-std::int64_t number(const std::string &text, std::int64_t otherwise) {
-    std::int64_t read = 0;
-    const auto got = std::from_chars(text.data(), text.data() + text.size(), read);
-    return !text.empty() && got.ec == std::errc{} && got.ptr == text.data() + text.size() ? read : otherwise;
+std::int64_t parse_number(const std::string &text, std::int64_t fallback) {
+    std::int64_t value = 0;
+    const auto result = std::from_chars(text.data(), text.data() + text.size(), value);
+    return !text.empty() && result.ec == std::errc{} && result.ptr == text.data() + text.size() ? value
+                                                                                                : fallback;
 }
 
-enum Kept { kIndex, kLeader, kContact };
+// Positions of the header fields that are read, in the order in which send_query() asks the parser for them.
+enum HeaderField { kIndex, kKnownLeader, kLastContact };
 
 } // namespace
 
@@ -41,114 +45,129 @@
                    Timing timing, std::uint64_t seed)
     : view_(view), read_(std::move(read)), prefix_(std::move(prefix)), authority_(std::move(authority)),
       token_(std::move(token)), timing_(timing) {
-    chance_.state = seed * 2862933555777941757ULL + 3037000493ULL;
+    random_.state = seed * 2862933555777941757ULL + 3037000493ULL;
 }
 
 void Follower::begin(Ticks now) {
     now_ = now;
-    view_.broken(); // a new connection carries nothing on
-    view_.ask(); // whatever it wants, a whole read gives it
-    query();
+    view_.broken(); // requests on an earlier connection are lost
+    view_.ask(); // any answer is a whole read, so it satisfies whatever the view requests
+    send_query();
 }
 
-void Follower::query() {
-    ask_at_ = -1;
-    std::string path = "/v1/kv/" + escaped(prefix_) + "?recurse=true";
+void Follower::send_query() {
+    next_query_at_ = -1;
+    std::string path = "/v1/kv/" + percent_encode(prefix_) + "?recurse=true";
     Ticks wait = 0;
     if (index_ > 0) {
-        // What is doubted is read again as soon as that may count.
+        // While the view doubts a read, the confirming read is made as soon as it may count.
         wait = view_.doubting() ? std::min(timing_.query_wait, view_.confirms_in()) : timing_.query_wait;
-        wait = std::max<Ticks>(10, static_cast<Ticks>(wait * (1 + chance_.uniform() / 16)));
+        wait = std::max<Ticks>(10, static_cast<Ticks>(wait * (1 + random_.uniform() / 16)));
         path += "&index=" + std::to_string(index_) + "&wait=" + std::to_string((wait + 9) / 10) + "ms";
     }
     unsent_ += "GET " + path + " HTTP/1.1\r\nHost: " + authority_ + "\r\n";
     if (!token_.empty()) unsent_ += "X-Consul-Token: " + token_ + "\r\n";
     unsent_ += "\r\n";
-    answer_.emplace(kMostHead, kMostBody);
+    answer_.emplace(kMaxHeadBytes, kMaxBodyBytes);
     for (const char *field : {"X-Consul-Index", "X-Consul-KnownLeader", "X-Consul-LastContact"})
         answer_->capture_header(field);
-    entries_.emplace([this](Entry entry) { take_entry(std::move(entry)); });
+    parser_.emplace([this](Entry entry) { handle_entry(std::move(entry)); });
     view_.begin_read();
-    // The server adds up to a sixteenth of the wait by itself.
-    due_ = now_ + wait + wait / 16 + timing_.answer_timeout;
+    // The server itself extends the wait by up to a sixteenth.
+    answer_deadline_ = now_ + wait + wait / 16 + timing_.answer_timeout;
 }
 
-void Follower::take_entry(Entry entry) {
+void Follower::handle_entry(Entry entry) {
     Record record;
-    if (!entry.fault.empty()) {
+    if (!entry.error.empty()) {
         record.key = std::move(entry.key);
-        record.rev = entry.rev;
-        record.fault = std::move(entry.fault);
-    } else if (view_.revision_of(entry.key) == entry.rev) {
+        record.rev = entry.modify_index;
+        record.fault = std::move(entry.error);
+    } else if (view_.revision_of(entry.key) == entry.modify_index) {
         record.key = std::move(entry.key);
-        record.rev = entry.rev;
+        record.rev = entry.modify_index;
         record.same = true;
     } else {
-        record = make_record(read_, std::move(entry.key), entry.rev, entry.value);
+        record = make_record(read_, std::move(entry.key), entry.modify_index, entry.value);
     }
     page_.push_back(std::move(record));
-    if (page_.size() < kPage) return;
+    if (page_.size() < kPageEntries) return;
     view_.page(page_);
     page_.clear();
 }
 
-bool Follower::usable() {
-    if (answer_->status() != 200 && answer_->status() != 404)
-        return fail("status " + std::to_string(answer_->status())), false;
-    if (answer_->captured_header(kLeader) == "false") return fail("a member without a leader"), false;
-    if (number(answer_->captured_header(kContact), 0) * 10 > timing_.max_leader_silence)
-        return fail("a member out of touch with its leader"), false;
-    if (number(answer_->captured_header(kIndex), -1) < 0) return fail("an answer without an index"), false;
+bool Follower::check_header() {
+    if (answer_->status() != 200 && answer_->status() != 404) {
+        fail("status " + std::to_string(answer_->status()));
+        return false;
+    }
+    if (answer_->captured_header(kKnownLeader) == "false") {
+        fail("registry member has no leader");
+        return false;
+    }
+    if (parse_number(answer_->captured_header(kLastContact), 0) * 10 > timing_.max_leader_silence) {
+        fail("registry member lost contact with its leader");
+        return false;
+    }
+    if (parse_number(answer_->captured_header(kIndex), -1) < 0) {
+        fail("answer without a valid X-Consul-Index header");
+        return false;
+    }
     return true;
 }
 
 bool Follower::feed(std::string_view bytes, Ticks now) {
     now_ = std::max(now_, now);
     if (!answer_ || answer_->is_complete()) {
-        fail("bytes that were not asked for");
+        fail("unsolicited bytes from the registry");
         return false;
     }
     answer_->feed(bytes);
-    if (answer_->is_malformed()) return fail("an answer that cannot be read"), false;
-    if (answer_->has_status() && !usable()) return false;
+    if (answer_->is_malformed()) {
+        fail("malformed HTTP answer");
+        return false;
+    }
+    if (answer_->has_status() && !check_header()) return false;
     const std::string body = answer_->take_body();
-    // 404: no key under the prefix; what its body says is for people.
-    if (answer_->status() == 200 && !body.empty() && !entries_->feed(body))
-        return fail("an answer that cannot be read: " + entries_->fault()), false;
-    if (answer_->is_complete()) take_answer();
+    // Status 404 means that no key is under the prefix; its body is a text for people and is ignored.
+    if (answer_->status() == 200 && !body.empty() && !parser_->feed(body)) {
+        fail("malformed answer body: " + parser_->error());
+        return false;
+    }
+    if (answer_->is_complete()) handle_answer();
     return !dead();
 }
 
-void Follower::take_answer() {
-    if (answer_->status() == 200 && !entries_->end())
-        return fail("an answer that cannot be read: it ends too early");
+void Follower::handle_answer() {
+    if (answer_->status() == 200 && !parser_->end())
+        return fail("malformed answer body: JSON ends too early");
     view_.page(std::exchange(page_, {}));
-    // Least 1: an index of 0 would never block, and the list be asked for in a loop.
-    const std::int64_t index = std::max<std::int64_t>(1, number(answer_->captured_header(kIndex), 1));
-    const bool stays = answer_->keep_alive();
+    // At least 1: a query with index 0 never blocks, and the list would be read in a loop.
+    const std::int64_t index = std::max<std::int64_t>(1, parse_number(answer_->captured_header(kIndex), 1));
+    const bool stays_open = answer_->keep_alive();
     answer_.reset();
-    if (index < index_ && !std::exchange(went_back_, true)) {
-        view_.drop_read(); // start anew: what the list is without an index is what counts
+    if (index < index_ && !std::exchange(index_went_back_, true)) {
+        view_.drop_read(); // only a read without an index shows the list as it is now
         view_.ask();
         index_ = 0;
-        return query();
+        return send_query();
     }
-    went_back_ = false;
+    index_went_back_ = false;
     index_ = index;
     view_.end_read(index);
-    if (view_.ask() == Ask::elsewhere) return fail("a member that lags");
-    if (!stays) return fail("the member closes the connection");
-    ask_at_ = now_ + timing_.query_gap;
-    due_ = ask_at_ + timing_.answer_timeout;
+    if (view_.ask() == Ask::elsewhere) return fail("registry member lags behind the known revision");
+    if (!stays_open) return fail("registry member closes the connection");
+    next_query_at_ = now_ + timing_.query_gap;
+    answer_deadline_ = next_query_at_ + timing_.answer_timeout;
 }
 
 void Follower::clock(Ticks now) {
     now_ = std::max(now_, now);
     if (dead()) return;
-    view_.ask(); // a confirming read comes with the next answer
-    if (ask_at_ >= 0 && now_ >= ask_at_) return query();
-    // Stops a query that is open and dead from hiding drains for longer than its wait.
-    if (ask_at_ < 0 && now_ >= due_) fail("no answer to a query");
+    view_.ask(); // the next answer is a whole read and satisfies the request
+    if (next_query_at_ >= 0 && now_ >= next_query_at_) return send_query();
+    // Without a timeout, a dead connection that stays open would hide drains for longer than the wait.
+    if (next_query_at_ < 0 && now_ >= answer_deadline_) fail("blocking query not answered in time");
 }
 
 void Follower::ended() {
@@ -156,10 +175,10 @@
         answer_->end_of_stream();
         if (answer_->is_complete() && !answer_->is_malformed()) {
             const std::string body = answer_->take_body();
-            if (!usable()) return;
-            if (answer_->status() == 200 && !body.empty() && !entries_->feed(body))
-                return fail("an answer that cannot be read: " + entries_->fault());
-            take_answer();
+            if (!check_header()) return;
+            if (answer_->status() == 200 && !body.empty() && !parser_->feed(body))
+                return fail("malformed answer body: " + parser_->error());
+            handle_answer();
         }
     }
     fail("the connection ended");
--- a/src/membership/blocking/follower.hpp
+++ b/src/membership/blocking/follower.hpp
@@ -1,8 +1,10 @@
-// Follows a prefix by blocking queries over HTTP/1.1, fed bytes and told the time; knows no socket. Each
-// query names the index last told and is answered once that has been passed, or when the told wait is over,
-// with all keys under the prefix. Protocol: Consul's KV API and its pages on blocking queries: an index below
-// the one before means that the next query starts anew, without one; an index of 0 never blocks, so 1 is the
-// least that is asked with; each query's wait is spread so that many routers do not ask in step.
+// Follows the keys under a prefix with blocking queries over HTTP/1.1 (Consul's KV API). The follower is fed
+// bytes and the time and does no I/O; one follower serves one connection. Each query names the last index
+// received; the server answers once its index has passed that one, or when the requested wait is over, with
+// all keys under the prefix. Three rules come from Consul's documentation of blocking queries:
+// - If the index goes back, the next query carries no index and reads the whole list again.
+// - An index of 0 never blocks, so the lowest index sent is 1.
+// - The wait of each query is randomised so that routers do not query in step.
 #pragma once
 
 #include "membership/blocking/entry_parser.hpp"
@@ -16,17 +18,17 @@
 
 namespace pineridge::membership::blocking {
 
-struct Timing { // ticks
-    Ticks query_wait = 50000; // of a query, spread by a sixteenth
-    Ticks answer_timeout = 20000; // for an answer, over the wait
-    Ticks query_gap =
-        500; // between an answer and the next query: a list that changes all the time is not read in a loop
-    Ticks max_leader_silence = 50000; // a member that has not heard its leader for so long is not believed
+// Intervals and timeouts, in ticks.
+struct Timing {
+    Ticks query_wait = 50000; // how long the server may hold a query; up to a sixteenth is added at random
+    Ticks answer_timeout = 20000; // for the answer, in addition to the query's wait
+    Ticks query_gap = 500; // from an answer to the next query; bounds the rate when the list keeps changing
+    Ticks max_leader_silence = 50000; // a member without contact to its leader for longer is not used
 };
 
 class Follower final : public Peer {
   public:
-    // The view outlives the follower: there is one follower a connection.
+    // The view must outlive the follower. `read` converts a key's value into a host.
     Follower(View &view, ReadValue read, std::string prefix, std::string authority, std::string token,
              Timing timing, std::uint64_t seed);
 
@@ -37,22 +39,25 @@
     void ended() override;
 
   private:
-    void query();
-    void take_entry(Entry entry);
-    void take_answer();
-    bool usable(); // the answer's head
+    void send_query();
+    void handle_entry(Entry entry);
+    void handle_answer();
+    // Checks the status and the header fields of the answer; fails the connection if they are unacceptable.
+    bool check_header();
 
     View &view_;
     const ReadValue read_;
     const std::string prefix_, authority_, token_;
     const Timing timing_;
-    Pcg32 chance_;
-    std::optional<http::Response> answer_; // to the query under way
-    std::optional<EntryParser> entries_;
-    std::vector<Record> page_;
-    std::int64_t index_ = 0; // 0: the next query does not block
-    bool went_back_ = false;
-    Ticks now_ = 0, due_ = 0, ask_at_ = -1;
+    Pcg32 random_;
+    std::optional<http::Response> answer_; // to the outstanding query
+    std::optional<EntryParser> parser_; // of that answer's body
+    std::vector<Record> page_; // records that the view has not received yet
+    std::int64_t index_ = 0; // of the last answer; 0: the next query does not block
+    bool index_went_back_ = false; // the last answer's index was below the one before
+    Ticks now_ = 0;
+    Ticks answer_deadline_ = 0;
+    Ticks next_query_at_ = -1; // below 0 while a query is outstanding
     std::string unsent_;
 };
 
--- a/src/membership/etcd/follower.cpp
+++ b/src/membership/etcd/follower.cpp
@@ -6,10 +6,11 @@
 
 namespace {
 
-constexpr std::size_t kMostFragments = 100000; // events of one batch
+constexpr std::size_t kMaxBatchEvents = 100000; // events of one watch batch, over all its fragments
+constexpr int kStatusOutOfRange = 11; // of gRPC
 
-// The key behind all that begin with the prefix, as etcd's own clients make it.
-std::string end_of(std::string prefix) {
+// Returns the end of the range of all keys with the prefix, computed as etcd's own clients do.
+std::string prefix_range_end(std::string prefix) {
     while (!prefix.empty() && static_cast<unsigned char>(prefix.back()) == 0xff) prefix.pop_back();
     if (prefix.empty()) return std::string(1, '\0');
     ++prefix.back();
@@ -19,211 +20,218 @@
 } // namespace
 
 Follower::Follower(View &view, ReadValue read, std::string prefix, std::string authority, std::string token,
-                   Timing timing, std::size_t page)
-    : view_(view), read_(std::move(read)), prefix_(std::move(prefix)), end_(end_of(prefix_)),
-      authority_(std::move(authority)), token_(std::move(token)), timing_(timing), page_(page) {}
+                   Timing timing, std::size_t page_size)
+    : view_(view), read_(std::move(read)), prefix_(std::move(prefix)), range_end_(prefix_range_end(prefix_)),
+      authority_(std::move(authority)), token_(std::move(token)), timing_(timing), page_size_(page_size) {}
 
 void Follower::begin(Ticks now) {
-    now_ = heard_at_ = now;
-    // A new connection carries nothing on: what the view wants is asked of it anew.
+    now_ = last_message_at_ = now;
+    // The calls of an earlier connection are lost, so the view is asked again what to do.
     view_.broken();
-    go_on();
+    start_next_step();
 }
 
-void Follower::go_on() {
+void Follower::start_next_step() {
     switch (view_.ask()) {
     case Ask::whole:
         if (watch_call_ >= 0) session_.cancel(std::exchange(watch_call_, -1));
         fragments_.clear();
         view_.begin_read();
-        read_rev_ = 0;
-        keys_now_ = page_;
+        read_revision_ = 0;
+        page_limit_ = page_size_;
         return read_page(prefix_);
     case Ask::resume: return open_watch();
-    case Ask::elsewhere: return fail("a member that lags");
+    case Ask::elsewhere: return fail("registry member lags behind the known revision");
     case Ask::nothing: return;
     }
 }
 
 void Follower::read_page(const std::string &from) {
-    doing_ = Doing::reading;
+    state_ = State::reading;
     etcdserverpb::RangeRequest request;
     request.set_key(from);
-    request.set_range_end(end_);
-    read_from_ = from;
-    request.set_limit(static_cast<std::int64_t>(keys_now_));
-    request.set_keys_only(without_value_);
-    request.set_revision(read_rev_); // 0 for the first page: what the answer stands at holds for the rest
+    request.set_range_end(range_end_);
+    page_start_ = from;
+    request.set_limit(static_cast<std::int64_t>(page_limit_));
+    request.set_keys_only(keys_only_);
+    request.set_revision(read_revision_); // 0 for the first page: its answer sets the revision of the rest
     page_call_ = session_.start_call("/etcdserverpb.KV/Range", authority_, token_);
     session_.send(page_call_, request.SerializeAsString(), true);
-    due_ = now_ + timing_.answer_timeout;
+    deadline_ = now_ + timing_.answer_timeout;
 }
 
 void Follower::open_watch() {
-    doing_ = Doing::opening;
+    state_ = State::opening_watch;
     etcdserverpb::WatchRequest request;
     auto &create = *request.mutable_create_request();
     create.set_key(prefix_);
-    create.set_range_end(end_);
+    create.set_range_end(range_end_);
     create.set_start_revision(view_.revision() + 1);
     create.set_progress_notify(true);
     create.set_fragment(true);
     watch_call_ = session_.start_call("/etcdserverpb.Watch/Watch", authority_, token_);
     session_.send(watch_call_, request.SerializeAsString(), false);
-    due_ = now_ + timing_.answer_timeout;
+    deadline_ = now_ + timing_.answer_timeout;
 }
 
 void Follower::clock(Ticks now) {
     now_ = std::max(now_, now);
-    if (dead() || doing_ == Doing::nothing) return;
-    if (doing_ != Doing::watching) {
-        if (now_ >= due_) fail(doing_ == Doing::reading ? "no answer to a read" : "no answer to a watch");
+    if (dead() || state_ == State::idle) return;
+    if (state_ != State::watching) {
+        if (now_ >= deadline_)
+            fail(state_ == State::reading ? "range read not answered in time" : "watch not created in time");
         return;
     }
-    // Stops a watch that is open and dead, or stuck behind answered pings, from hiding drains.
-    if (now_ - heard_at_ >= timing_.watch_timeout) return fail("a watch that is quiet");
-    if (now_ >= progress_at_) ask_progress();
-    if (now_ >= audit_at_) audit();
-    due_ = std::min({heard_at_ + timing_.watch_timeout, progress_at_, audit_at_});
-    go_on();
+    // Without a timeout, a watch would hide drains if its connection is dead though open, or if the member
+    // answers pings but sends no events.
+    if (now_ - last_message_at_ >= timing_.watch_timeout)
+        return fail("no message on the watch within its timeout");
+    if (now_ >= next_progress_at_) request_progress();
+    if (now_ >= next_audit_at_) start_audit();
+    deadline_ = std::min({last_message_at_ + timing_.watch_timeout, next_progress_at_, next_audit_at_});
+    start_next_step();
 }
 
-void Follower::ask_progress() {
+void Follower::request_progress() {
     etcdserverpb::WatchRequest request;
     request.mutable_progress_request();
     session_.send(watch_call_, request.SerializeAsString(), false);
     session_.ping();
-    progress_at_ = now_ + timing_.progress_interval;
+    next_progress_at_ = now_ + timing_.progress_interval;
 }
 
-// The key written last, and how many there are: has the watch told of it?
-void Follower::audit() {
-    audit_at_ = now_ + timing_.audit_interval;
-    if (audit_call_ >= 0) return fail("no answer to a look");
+// Reads the last modified key and the number of keys, to find changes that the watch did not report.
+void Follower::start_audit() {
+    next_audit_at_ = now_ + timing_.audit_interval;
+    if (audit_call_ >= 0) return fail("previous audit read not answered in time");
     etcdserverpb::RangeRequest request;
     request.set_key(prefix_);
-    request.set_range_end(end_);
+    request.set_range_end(range_end_);
     request.set_limit(1);
     request.set_sort_order(etcdserverpb::RangeRequest::DESCEND);
     request.set_sort_target(etcdserverpb::RangeRequest::MOD);
-    request.set_revision(view_.revision()); // as of what the watch has told
-    audit_rev_ = view_.revision();
+    request.set_revision(view_.revision()); // the state as the watch has reported it
+    audit_revision_ = view_.revision();
     audit_call_ = session_.start_call("/etcdserverpb.KV/Range", authority_, token_);
     session_.send(audit_call_, request.SerializeAsString(), true);
 }
 
-void Follower::take(const http2::Event &event) {
+void Follower::handle_event(const http2::Event &event) {
     using Kind = http2::Event::Kind;
-    if (event.kind == Kind::going_away) return fail("the member is going away");
+    if (event.kind == Kind::going_away) return fail("registry member sent GOAWAY");
     if (event.kind == Kind::pong) return;
     if (event.kind == Kind::ended) {
-        if (event.too_large && event.call == page_call_ && doing_ == Doing::reading) return page_too_large();
+        if (event.too_large && event.call == page_call_ && state_ == State::reading) return shrink_page();
         if (event.too_large && event.call == watch_call_) {
-            // Stops one huge value from being resumed into again and again: the whole is read, around it.
+            // Resuming the watch would meet the same huge value again and again, so the whole prefix is read
+            // instead, without that value.
             watch_call_ = -1;
             view_.missed(event.text);
-            return go_on();
+            return start_next_step();
         }
-        if (event.call == watch_call_) return fail("the watch ended: " + event.text);
-        // 11, out of range: the revision of the read has been compacted meanwhile.
-        if (event.call == page_call_ && doing_ == Doing::reading) {
-            if (event.status != 11) return fail("a read failed: " + event.text);
+        if (event.call == watch_call_) return fail("watch ended: " + event.text);
+        // Out of range: the revision of the read was compacted in the meantime.
+        if (event.call == page_call_ && state_ == State::reading) {
+            if (event.status != kStatusOutOfRange) return fail("range read failed: " + event.text);
             view_.drop_read();
-            return go_on();
+            return start_next_step();
         }
-        if (event.call == audit_call_) audit_call_ = -1; // a compacted or failed look tells nothing
+        if (event.call == audit_call_) audit_call_ = -1; // a compacted or failed audit shows nothing
         return;
     }
-    if (event.call == page_call_) return take_page(event.data);
-    if (event.call == watch_call_) return take_watch(event.data);
-    if (event.call == audit_call_) return take_audit(event.data);
+    if (event.call == page_call_) return handle_page(event.data);
+    if (event.call == watch_call_) return handle_watch_message(event.data);
+    if (event.call == audit_call_) return handle_audit_answer(event.data);
 }
 
-// Stops one huge value from keeping the rest of the list unread: fewer keys are asked for, and of the one
-// that is too large by itself only its name and revision.
-void Follower::page_too_large() {
+// One huge value must not keep the rest of the list from being read: requests fewer keys per page and, for a
+// key whose value alone is too large, only the key and its revision.
+void Follower::shrink_page() {
     page_call_ = -1;
-    if (keys_now_ == 1 && std::exchange(without_value_, true))
-        return fail("a page that is too large without its values");
-    keys_now_ = std::max<std::size_t>(1, keys_now_ / 8);
-    read_page(read_from_);
+    if (page_limit_ == 1 && std::exchange(keys_only_, true))
+        return fail("range answer too large even for one key without its value");
+    page_limit_ = std::max<std::size_t>(1, page_limit_ / 8);
+    read_page(page_start_);
 }
 
-Record Follower::record_of(const etcdserverpb::KeyValue &pair, bool gone) const {
-    const bool same = !gone && view_.revision_of(pair.key()) == pair.mod_revision();
-    if (!gone && !same) return make_record(read_, pair.key(), pair.mod_revision(), pair.value());
+Record Follower::to_record(const etcdserverpb::KeyValue &key_value, bool deleted) const {
+    const bool same = !deleted && view_.revision_of(key_value.key()) == key_value.mod_revision();
+    if (!deleted && !same)
+        return make_record(read_, key_value.key(), key_value.mod_revision(), key_value.value());
     Record record;
-    record.key = pair.key();
-    record.rev = pair.mod_revision();
-    record.gone = gone;
+    record.key = key_value.key();
+    record.rev = key_value.mod_revision();
+    record.gone = deleted;
     record.same = same;
     return record;
 }
 
-void Follower::take_page(const std::string &bytes) {
-    etcdserverpb::RangeResponse page;
-    if (!page.ParseFromString(bytes) || !page.has_header()) return fail("a page that cannot be read");
-    if (read_rev_ == 0) read_rev_ = page.header().revision();
+void Follower::handle_page(const std::string &bytes) {
+    etcdserverpb::RangeResponse response;
+    if (!response.ParseFromString(bytes) || !response.has_header()) return fail("malformed range answer");
+    if (read_revision_ == 0) read_revision_ = response.header().revision();
     std::vector<Record> records;
-    for (const auto &pair : page.kvs()) {
-        records.push_back(record_of(pair, false));
-        if (without_value_ && !records.back().same) {
+    for (const auto &key_value : response.kvs()) {
+        records.push_back(to_record(key_value, false));
+        if (keys_only_ && !records.back().same) {
             records.back().member.reset();
-            records.back().fault = "a value beyond the bound of messages";
+            records.back().fault = "value exceeds the message size limit";
         }
     }
-    without_value_ = false;
-    keys_now_ = std::min(page_, keys_now_ * 2);
+    keys_only_ = false;
+    page_limit_ = std::min(page_size_, page_limit_ * 2);
     view_.page(records);
     page_call_ = -1;
-    if (page.more() && page.kvs_size() > 0) return read_page(page.kvs(page.kvs_size() - 1).key() + '\0');
-    doing_ = Doing::nothing;
-    view_.end_read(read_rev_);
-    go_on();
+    if (response.more() && response.kvs_size() > 0)
+        return read_page(response.kvs(response.kvs_size() - 1).key() + '\0');
+    state_ = State::idle;
+    view_.end_read(read_revision_);
+    start_next_step();
 }
 
-void Follower::take_watch(const std::string &bytes) {
-    etcdserverpb::WatchResponse told;
-    if (!told.ParseFromString(bytes) || !told.has_header()) return fail("a watch that cannot be read");
-    heard_at_ = now_;
-    if (told.compact_revision() > 0) {
+void Follower::handle_watch_message(const std::string &bytes) {
+    etcdserverpb::WatchResponse response;
+    if (!response.ParseFromString(bytes) || !response.has_header()) return fail("malformed watch message");
+    last_message_at_ = now_;
+    if (response.compact_revision() > 0) {
         view_.compacted();
         watch_call_ = -1;
-        return go_on();
+        return start_next_step();
     }
-    if (told.canceled()) return fail("the watch was cancelled: " + told.cancel_reason());
-    if (told.created()) {
-        doing_ = Doing::watching;
-        progress_at_ = now_ + timing_.progress_interval;
-        audit_at_ = now_ + timing_.audit_interval;
-        if (told.header().revision() < view_.revision()) {
-            view_.member_at(told.header().revision());
-            return go_on();
+    if (response.canceled()) return fail("watch cancelled by the registry: " + response.cancel_reason());
+    if (response.created()) {
+        state_ = State::watching;
+        next_progress_at_ = now_ + timing_.progress_interval;
+        next_audit_at_ = now_ + timing_.audit_interval;
+        if (response.header().revision() < view_.revision()) {
+            view_.member_at(response.header().revision());
+            return start_next_step();
         }
         return;
     }
-    // A batch in fragments is one: half of it is none, as the revision would then count as told.
-    for (auto &event : *told.mutable_events()) fragments_.push_back(std::move(event));
-    if (fragments_.size() > kMostFragments) return fail("a batch of too many events");
-    if (told.fragment()) return;
+    // The fragments of a batch are applied together: a part of a batch would mark its whole revision as seen.
+    for (auto &event : *response.mutable_events()) fragments_.push_back(std::move(event));
+    if (fragments_.size() > kMaxBatchEvents) return fail("too many events in one watch batch");
+    if (response.fragment()) return;
     for (const auto &event : std::exchange(fragments_, {}))
-        view_.change(record_of(event.kv(), event.type() == etcdserverpb::Event::DELETE));
-    if (told.events_size() == 0) view_.progress(told.header().revision());
-    go_on();
+        view_.change(to_record(event.kv(), event.type() == etcdserverpb::Event::DELETE));
+    if (response.events_size() == 0) view_.progress(response.header().revision());
+    start_next_step();
 }
 
-void Follower::take_audit(const std::string &bytes) {
+void Follower::handle_audit_answer(const std::string &bytes) {
     audit_call_ = -1;
-    etcdserverpb::RangeResponse look;
-    if (!look.ParseFromString(bytes) || view_.doubting()) return;
-    for (const auto &pair : look.kvs())
-        if (pair.mod_revision() <= audit_rev_ && view_.revision_of(pair.key()) < pair.mod_revision()) {
-            view_.missed(pair.key());
-            return go_on();
+    etcdserverpb::RangeResponse response;
+    if (!response.ParseFromString(bytes) || view_.doubting()) return;
+    for (const auto &key_value : response.kvs())
+        if (key_value.mod_revision() <= audit_revision_ &&
+            view_.revision_of(key_value.key()) < key_value.mod_revision()) {
+            view_.missed(key_value.key());
+            return start_next_step();
         }
-    if (look.count() < static_cast<std::int64_t>(view_.size()) && view_.revision() == audit_rev_) {
+    if (response.count() < static_cast<std::int64_t>(view_.size()) && view_.revision() == audit_revision_) {
         view_.missed("a deletion");
-        go_on();
+        start_next_step();
     }
 }
 
--- a/src/membership/etcd/follower.hpp
+++ b/src/membership/etcd/follower.hpp
@@ -1,7 +1,8 @@
-// Follows a prefix of an etcd v3 registry, fed bytes and told the time; knows no socket. One connection:
-// whole reads in pages of one revision, a watch from behind it, progress asked for, now and then a look
-// whether the watch has missed anything. What it learns goes to a view, which says what is next. Protocol:
-// etcd's v3 API over gRPC.
+// Follows the keys under a prefix of an etcd v3 registry, on one connection. The follower is fed bytes and
+// the time and does no I/O. It reads the whole prefix in pages of one revision and then watches it from the
+// next revision on. While the watch is open, it requests progress notifications and audits the watch: from
+// time to time it reads the last modified key and the number of keys, and compares them with what the watch
+// reported. The results go to a view, which decides on the next step. Protocol: etcd's v3 API over gRPC.
 #pragma once
 
 #include "membership/etcd/grpc_peer.hpp"
@@ -11,51 +12,53 @@
 
 namespace pineridge::membership::etcd {
 
-struct Timing { // ticks
-    Ticks answer_timeout = 20000; // for a page, or for the watch to stand
-    Ticks progress_interval = 10000; // between asking for progress
-    Ticks watch_timeout = 25000; // without a word after that: the watch is dead although open
-    Ticks audit_interval = 100000; // between looks whether anything was missed
+// Intervals and timeouts, in ticks.
+struct Timing {
+    Ticks answer_timeout = 20000; // for one page of a read, or for the creation of the watch
+    Ticks progress_interval = 10000; // between progress requests
+    Ticks watch_timeout = 25000; // without any message on the watch: its connection counts as dead
+    Ticks audit_interval = 100000; // between audits of the watch
 };
 
 class Follower final : public GrpcPeer {
   public:
-    // The view outlives the follower: there is one follower a connection. `read` makes a host of a value.
+    // The view must outlive the follower; each connection has a follower of its own. `read` converts a key's
+    // value into a host; `page_size` is the number of keys requested per page.
     Follower(View &view, ReadValue read, std::string prefix, std::string authority, std::string token,
-             Timing timing, std::size_t page = 500);
+             Timing timing, std::size_t page_size = 500);
 
     void begin(Ticks now) override;
     void clock(Ticks now) override;
 
   private:
-    enum class Doing { nothing, reading, opening, watching };
+    enum class State { idle, reading, opening_watch, watching };
 
-    void go_on(); // what the view asks for next
+    void start_next_step(); // as the view requests
     void read_page(const std::string &from);
-    void page_too_large();
+    void shrink_page();
     void open_watch();
-    void take(const http2::Event &event) override;
-    void take_page(const std::string &bytes);
-    void take_watch(const std::string &bytes);
-    void take_audit(const std::string &bytes);
-    void ask_progress();
-    void audit();
-    Record record_of(const etcdserverpb::KeyValue &pair, bool gone) const;
+    void handle_event(const http2::Event &event) override;
+    void handle_page(const std::string &bytes);
+    void handle_watch_message(const std::string &bytes);
+    void handle_audit_answer(const std::string &bytes);
+    void request_progress();
+    void start_audit();
+    Record to_record(const etcdserverpb::KeyValue &key_value, bool deleted) const;
 
     View &view_;
     const ReadValue read_;
-    const std::string prefix_, end_, authority_, token_;
+    const std::string prefix_, range_end_, authority_, token_;
     const Timing timing_;
-    const std::size_t page_;
-    Doing doing_ = Doing::nothing;
-    std::int32_t page_call_ = -1, watch_call_ = -1, audit_call_ = -1;
-    std::int64_t read_rev_ = 0; // of the read under way
-    std::string read_from_; // the page under way
-    std::size_t keys_now_ = 0; // asked for in it: fewer where a page was too large
-    bool without_value_ = false; // the page's one key has a value beyond the bound of messages
-    std::vector<etcdserverpb::Event> fragments_;
-    Ticks due_ = 0, heard_at_ = 0, progress_at_ = 0, audit_at_ = 0;
-    std::int64_t audit_rev_ = 0;
+    const std::size_t page_size_;
+    State state_ = State::idle;
+    std::int32_t page_call_ = -1, watch_call_ = -1, audit_call_ = -1; // below 0: no such call is open
+    std::int64_t read_revision_ = 0; // of all pages of the read in progress; 0: before the first answer
+    std::string page_start_; // first key of the requested page
+    std::size_t page_limit_ = 0; // keys requested for that page: fewer than usual after a page was too large
+    bool keys_only_ = false; // the page's only key has a value beyond the message size limit
+    std::vector<etcdserverpb::Event> fragments_; // events of an incomplete watch batch
+    Ticks deadline_ = 0, last_message_at_ = 0, next_progress_at_ = 0, next_audit_at_ = 0;
+    std::int64_t audit_revision_ = 0; // the view's revision when the audit in progress began
 };
 
 } // namespace pineridge::membership::etcd
--- a/src/membership/etcd/grpc_peer.hpp
+++ b/src/membership/etcd/grpc_peer.hpp
@@ -1,5 +1,5 @@
-// A conversation by gRPC over HTTP/2: bytes become events, taken one by one until the connection is of no
-// use.
+// A registry connection that speaks gRPC over HTTP/2. Received bytes become events, which a subclass handles
+// one by one until the connection has failed.
 #pragma once
 
 #include "membership/peer.hpp"
@@ -14,27 +14,27 @@
     bool feed(std::string_view bytes, Ticks now) final {
         now_ = std::max(now_, now);
         session_.feed(bytes);
-        take_events();
+        handle_events();
         return !dead();
     }
     std::string output() final {
         std::string bytes = session_.take_output();
-        take_events(); // a call that we reset ends as its frame is made
+        handle_events(); // a call that this side resets ends when its RST_STREAM frame is written
         bytes += session_.take_output();
         return bytes;
     }
 
   protected:
-    virtual void take(const http2::Event &event) = 0;
+    virtual void handle_event(const http2::Event &event) = 0;
 
     http2::Session session_;
     Ticks now_ = 0;
 
   private:
-    void take_events() {
+    void handle_events() {
         if (!session_.error().empty()) fail(session_.error());
         http2::Event event{};
-        while (!dead() && session_.next_event(event)) take(event);
+        while (!dead() && session_.next_event(event)) handle_event(event);
     }
 };
 
--- a/tests/membership/blocking_test.cpp
+++ b/tests/membership/blocking_test.cpp
@@ -1,5 +1,5 @@
-// Blocking queries: the parser of entries by its bytes, the follower by its bytes and the time, and the
-// source on loopback against a stand-in, through each fault.
+// Tests of blocking queries: the entry parser and the follower fed with bytes and times, and the source on
+// loopback against a stand-in registry that produces each fault.
 #undef NDEBUG
 #include "membership/blocking/follower.hpp"
 #include "source_world.hpp"
@@ -11,64 +11,65 @@
 
 namespace {
 
-const std::string kBody =
+const std::string kThreeEntries =
     R"([{"LockIndex":0,"Key":"h/a","Flags":0,"Value":"eyJhIjoxfQ==","CreateIndex":3,"ModifyIndex":7,"X":{"Key":"no","y":[1]}},)"
     R"({"Key":"h/b","Value":null,"ModifyIndex":9},{"ModifyIndex":11,"Value":"%%%","Key":"h/c"}])";
 
-// "KEY@REV=VALUE" or "KEY@REV!FAULT" of each entry.
-std::string entries_of(const std::vector<std::string> &parts, std::string &fault) {
-    std::string all;
-    blocking::EntryParser entries(
+// Parses a body that arrives in these parts. Returns "KEY@INDEX=VALUE" or "KEY@INDEX!ERROR" for each entry,
+// then "incomplete" if the parser did not reach the end of the array.
+std::string parse_entries(const std::vector<std::string> &parts, std::string &error) {
+    std::string parsed;
+    blocking::EntryParser parser(
         [&](const blocking::Entry &entry) {
-            all += entry.key + "@" + std::to_string(entry.rev) +
-                   (entry.fault.empty() ? "=" + entry.value : "!" + entry.fault) + " ";
+            parsed += entry.key + "@" + std::to_string(entry.modify_index) +
+                      (entry.error.empty() ? "=" + entry.value : "!" + entry.error) + " ";
         },
         64, 16);
     for (const std::string &part : parts)
-        if (!entries.feed(part)) break;
-    if (!entries.end()) all += "not whole";
-    fault = entries.fault();
-    return all;
+        if (!parser.feed(part)) break;
+    if (!parser.end()) parsed += "incomplete";
+    error = parser.error();
+    return parsed;
 }
 
-void entries_are_read_in_any_parts() {
-    const std::string wanted = "h/a@7={\"a\":1} h/b@9= h/c@11!a value that is not base64 ";
-    std::string fault;
-    assert(entries_of({kBody}, fault) == wanted);
-    for (std::size_t at = 0; at <= kBody.size(); ++at)
-        assert(entries_of({kBody.substr(0, at), kBody.substr(at)}, fault) == wanted);
+void entries_are_parsed_however_the_body_is_split() {
+    const std::string expected = "h/a@7={\"a\":1} h/b@9= h/c@11!value is not valid base64 ";
+    std::string error;
+    assert(parse_entries({kThreeEntries}, error) == expected);
+    for (std::size_t at = 0; at <= kThreeEntries.size(); ++at)
+        assert(parse_entries({kThreeEntries.substr(0, at), kThreeEntries.substr(at)}, error) == expected);
     std::vector<std::string> bytes;
-    for (const char one : kBody) bytes.emplace_back(1, one);
-    assert(entries_of(bytes, fault) == wanted);
-    for (std::size_t at = 0; at < kBody.size(); ++at)
-        assert(entries_of({kBody.substr(0, at)}, fault).find("not whole") != std::string::npos);
+    for (const char byte : kThreeEntries) bytes.emplace_back(1, byte);
+    assert(parse_entries(bytes, error) == expected);
+    for (std::size_t at = 0; at < kThreeEntries.size(); ++at)
+        assert(parse_entries({kThreeEntries.substr(0, at)}, error).find("incomplete") != std::string::npos);
 }
 
-void odd_bodies_are_refused_and_long_values_passed_over() {
-    std::string fault;
-    const std::string longer(200, 'A');
-    assert(entries_of({R"([{"Key":"a","Value":")" + longer +
-                       R"(","ModifyIndex":1},{"Key":"b","Value":"","ModifyIndex":2}])"},
-                      fault) == "a@1!a value over 64 bytes b@2= ");
-    for (const std::string &odd :
+void invalid_bodies_are_rejected_and_long_values_skipped() {
+    std::string error;
+    const std::string long_text(200, 'A');
+    assert(parse_entries({R"([{"Key":"a","Value":")" + long_text +
+                          R"(","ModifyIndex":1},{"Key":"b","Value":"","ModifyIndex":2}])"},
+                         error) == "a@1!value longer than 64 bytes b@2= ");
+    for (const std::string &invalid :
          {std::string("{}"), std::string("[1"), std::string("7"), std::string("[[]]"), std::string("[]x"),
           std::string(R"([{"Key":"a","Value":""}])"), std::string(R"([{"Value":"","ModifyIndex":1}])"),
-          std::string(R"([{"Key":")") + longer + R"(","ModifyIndex":1}])",
+          std::string(R"([{"Key":")") + long_text + R"(","ModifyIndex":1}])",
           std::string(R"([{"Key":"a","ModifyIndex":-4}])"), std::string(100, '[')})
-        assert(entries_of({odd}, fault).find("not whole") != std::string::npos && !fault.empty());
+        assert(parse_entries({invalid}, error).find("incomplete") != std::string::npos && !error.empty());
 }
 
-// A follower by its bytes alone.
-struct Desk {
-    Desk() : follower(view, read_value, "h/", "reg:1", "secret", {50000, 20000, 500, 50000}, 3) {
+// A follower without a connection: the test passes in answers and takes out queries.
+struct FollowerFixture {
+    FollowerFixture() : follower(view, read_value, "h/", "reg:1", "secret", {50000, 20000, 500, 50000}, 3) {
         follower.begin(0);
     }
-    void answer(const std::string &index, const std::string &body, const std::string &more = "") {
-        follower.feed("HTTP/1.1 200 OK\r\nX-Consul-Index: " + index + "\r\n" + more +
+    void answer(const std::string &index, const std::string &body, const std::string &extra_fields = "") {
+        follower.feed("HTTP/1.1 200 OK\r\nX-Consul-Index: " + index + "\r\n" + extra_fields +
                           "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body,
                       now);
     }
-    std::string next() { // the query that follows the gap
+    std::string next_query() { // after the gap between queries
         view.clock(now += 600);
         follower.clock(now);
         return follower.output();
@@ -78,60 +79,61 @@
     Ticks now = 0;
 };
 
-const std::string kOne = R"([{"Key":"h/a","Value":"","ModifyIndex":5}])";
+const std::string kOneEntry = R"([{"Key":"h/a","Value":"","ModifyIndex":5}])";
 
-void queries_name_the_index_and_never_none_twice() {
-    Desk desk;
-    const std::string first = desk.follower.output();
+void queries_carry_the_last_index_and_restart_when_it_goes_back() {
+    FollowerFixture fixture;
+    const std::string first = fixture.follower.output();
     assert(first.find("GET /v1/kv/h/?recurse=true HTTP/1.1\r\n") == 0 &&
            first.find("X-Consul-Token: secret\r\n") != std::string::npos);
-    desk.answer("0", kOne);
-    assert(desk.follower.output().empty()); // not before the gap
-    const std::string second = desk.next();
-    assert(second.find("&index=1&wait=5") != std::string::npos); // 0 would not block
-    desk.answer("9", kOne);
-    assert(desk.next().find("&index=9&") != std::string::npos);
-    desk.answer("4", kOne); // goes back: starts anew, at once
-    const std::string anew = desk.follower.output();
-    assert(anew.find("recurse=true HTTP/1.1") != std::string::npos);
-    desk.answer("4", kOne); // it is behind indeed: not believed, another member is asked
-    assert(desk.follower.dead() && desk.follower.why() == "a member that lags");
+    fixture.answer("0", kOneEntry);
+    assert(fixture.follower.output().empty()); // not before the gap
+    const std::string second = fixture.next_query();
+    assert(second.find("&index=1&wait=5") != std::string::npos); // a query with index 0 would not block
+    fixture.answer("9", kOneEntry);
+    assert(fixture.next_query().find("&index=9&") != std::string::npos);
+    fixture.answer("4", kOneEntry); // the index goes back: the list is read again at once
+    const std::string restarted = fixture.follower.output();
+    assert(restarted.find("recurse=true HTTP/1.1") != std::string::npos);
+    fixture.answer("4", kOneEntry); // the member does lag: its answer is not used
+    assert(fixture.follower.dead() &&
+           fixture.follower.why() == "registry member lags behind the known revision");
 }
 
-void bad_answers_end_the_connection() {
-    const auto why = [](const std::string &bytes) {
-        Desk desk;
-        desk.follower.feed(bytes, 1);
-        if (!desk.follower.dead()) desk.follower.ended();
-        return desk.follower.why();
+void invalid_answers_fail_the_connection() {
+    const auto failure_of = [](const std::string &bytes) {
+        FollowerFixture fixture;
+        fixture.follower.feed(bytes, 1);
+        if (!fixture.follower.dead()) fixture.follower.ended();
+        return fixture.follower.why();
     };
     const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n";
-    assert(why("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") == "status 500");
-    assert(why(head + "\r\n[]") == "an answer without an index");
-    assert(why(head + "X-Consul-Index: 5\r\nX-Consul-KnownLeader: false\r\n\r\n[]") ==
-           "a member without a leader");
-    assert(why(head + "X-Consul-Index: 5\r\nX-Consul-LastContact: 6000\r\n\r\n[]") ==
-           "a member out of touch with its leader");
-    assert(why(head + "X-Consul-Index: 5\r\n\r\n{}").find("not an array") != std::string::npos);
-    assert(why(head + "X-Consul-Index: 5\r\n\r\n[") == "the connection ended");
-    assert(why("noise\r\n\r\n") == "an answer that cannot be read");
-    assert(why(head + "X-Consul-Index: 5\r\n\r\n[]HTTP/1.1 200 OK\r\n") ==
-           "the member closes the connection");
-    Desk silent;
+    assert(failure_of("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") == "status 500");
+    assert(failure_of(head + "\r\n[]") == "answer without a valid X-Consul-Index header");
+    assert(failure_of(head + "X-Consul-Index: 5\r\nX-Consul-KnownLeader: false\r\n\r\n[]") ==
+           "registry member has no leader");
+    assert(failure_of(head + "X-Consul-Index: 5\r\nX-Consul-LastContact: 6000\r\n\r\n[]") ==
+           "registry member lost contact with its leader");
+    assert(failure_of(head + "X-Consul-Index: 5\r\n\r\n{}").find("not a JSON array") != std::string::npos);
+    assert(failure_of(head + "X-Consul-Index: 5\r\n\r\n[") == "the connection ended");
+    assert(failure_of("noise\r\n\r\n") == "malformed HTTP answer");
+    assert(failure_of(head + "X-Consul-Index: 5\r\n\r\n[]HTTP/1.1 200 OK\r\n") ==
+           "registry member closes the connection");
+    FollowerFixture silent;
     silent.follower.clock(20000);
-    assert(silent.follower.why() == "no answer to a query");
+    assert(silent.follower.why() == "blocking query not answered in time");
 }
 
-// --- on loopback ---
+// Tests on loopback.
 
-struct World : SourceWorld {
-    explicit World(int registries = 1) {
+struct BlockingFixture : SourceWorld {
+    explicit BlockingFixture(int registries = 1) {
         for (int i = 0; i < registries; ++i) registries_.push_back(std::make_unique<Blocking>(io));
-        for (const auto &one : registries_)
-            for (const char *id : {"a", "b", "c", "d"}) one->put(key(id), host_value("in_service"));
+        for (const auto &registry : registries_)
+            for (const char *id : {"a", "b", "c", "d"}) registry->put(key(id), host_value("in_service"));
         Plot plot;
-        for (const auto &one : registries_)
-            plot.endpoints.push_back(read_address(one->address(), "endpoint"));
+        for (const auto &registry : registries_)
+            plot.endpoints.push_back(read_address(registry->address(), "endpoint"));
         plot.prefix = "hosts/";
         plot.protocol = "http/1.1";
         plot.quiet = 4000;
@@ -147,105 +149,108 @@
         until_list("a+b+c+d+");
         until([&] { return blocked() > 0; });
     }
-    ~World() { stop(); }
+    ~BlockingFixture() { stop(); }
     int blocked() const {
-        int all = 0;
-        for (const auto &one : registries_) all += one->blocked();
-        return all;
+        int count = 0;
+        for (const auto &registry : registries_) count += registry->blocked();
+        return count;
     }
-    Blocking &registry(int at = 0) { return *registries_[static_cast<std::size_t>(at)]; }
+    Blocking &registry(int position = 0) { return *registries_[static_cast<std::size_t>(position)]; }
     static std::string key(const std::string &id) { return "hosts/" + id; }
 
     std::vector<std::unique_ptr<Blocking>> registries_;
 };
 
-void a_drain_and_a_deletion_are_told() {
-    World world;
-    world.registry().put(World::key("a"), host_value("terminating"));
-    world.until_list("a-b+c+d+");
-    world.registry().remove(World::key("b"));
-    world.until_list("a-c+d+");
-    world.registry().put(World::key("a"), host_value("in_service", 5));
-    world.until_list("a+c+d+");
-    world.registry().put(World::key("c"), "{no json");
-    world.registry().put(World::key("d"), host_value("terminating"));
-    world.until_list("a+c+d-");
-    assert(world.said("unreadable: hosts/c"));
-    const int before = world.registry().queries();
-    world.until([&] { return world.registry().queries() > before + 1; }); // waits that ran out
-    assert(world.text() == "a+c+d-");
+void drains_and_deletions_change_the_list() {
+    BlockingFixture fixture;
+    fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
+    fixture.until_list("a-b+c+d+");
+    fixture.registry().remove(BlockingFixture::key("b"));
+    fixture.until_list("a-c+d+");
+    fixture.registry().put(BlockingFixture::key("a"), host_value("in_service", 5));
+    fixture.until_list("a+c+d+");
+    fixture.registry().put(BlockingFixture::key("c"), "{no json");
+    fixture.registry().put(BlockingFixture::key("d"), host_value("terminating"));
+    fixture.until_list("a+c+d-");
+    assert(fixture.said("unreadable: hosts/c"));
+    const int queries_before = fixture.registry().queries();
+    // The wait of a query runs out without a change.
+    fixture.until([&] { return fixture.registry().queries() > queries_before + 1; });
+    assert(fixture.text() == "a+c+d-");
 }
 
-void breaks_are_survived_and_nothing_torn_is_believed() {
-    World world;
-    world.registry().stop();
-    world.until([&] { return world.said("registry.left"); });
-    world.registry().put(World::key("a"), host_value("terminating"));
-    world.registry().tear(420); // the answer breaks off in the midst of its entries
-    world.registry().start();
-    world.until_list("a-b+c+d+");
-    world.registry().spoil("HTTP/1.1 200 OK\r\nX-Consul-Index: 99\r\nContent-Length: 4\r\n\r\n[{]}");
-    world.registry().put(World::key("b"), host_value("terminating"));
-    world.until_list("a-b-c+d+");
+void broken_connections_are_replaced_and_partial_answers_discarded() {
+    BlockingFixture fixture;
+    fixture.registry().stop();
+    fixture.until([&] { return fixture.said("registry.left"); });
+    fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
+    fixture.registry().tear(420); // the answer ends in the middle of its entries
+    fixture.registry().start();
+    fixture.until_list("a-b+c+d+");
+    fixture.registry().spoil("HTTP/1.1 200 OK\r\nX-Consul-Index: 99\r\nContent-Length: 4\r\n\r\n[{]}");
+    fixture.registry().put(BlockingFixture::key("b"), host_value("terminating"));
+    fixture.until_list("a-b-c+d+");
 }
 
-void a_query_that_is_open_and_dead_is_left() {
-    World world;
-    world.registry().mute(true);
-    world.registry().put(World::key("a"), host_value("terminating"));
-    world.until([&] { return world.said("no answer to a query"); });
-    world.registry().mute(false);
-    world.until_list("a-b+c+d+");
+void a_query_without_an_answer_is_abandoned() {
+    BlockingFixture fixture;
+    fixture.registry().mute(true);
+    fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
+    fixture.until([&] { return fixture.said("blocking query not answered in time"); });
+    fixture.registry().mute(false);
+    fixture.until_list("a-b+c+d+");
 }
 
-void a_member_without_a_leader_is_left_for_another() {
-    World world(2);
-    const int at = world.registry(0).blocked() > 0 ? 0 : 1;
-    world.registry(at).say("X-Consul-KnownLeader", "false");
-    for (int i : {0, 1}) world.registry(i).put(World::key("a"), host_value("terminating"));
-    world.until_list("a-b+c+d+");
-    assert(world.said("a member without a leader") && world.registry(1 - at).queries() > 0);
+void a_member_without_a_leader_is_replaced_by_another() {
+    BlockingFixture fixture(2);
+    const int followed = fixture.registry(0).blocked() > 0 ? 0 : 1;
+    fixture.registry(followed).say("X-Consul-KnownLeader", "false");
+    for (int i : {0, 1}) fixture.registry(i).put(BlockingFixture::key("a"), host_value("terminating"));
+    fixture.until_list("a-b+c+d+");
+    assert(fixture.said("registry member has no leader") && fixture.registry(1 - followed).queries() > 0);
 }
 
-// After a change of member the new one lags: no drained host comes back to life.
-void a_lagging_member_is_not_believed() {
-    World world(2);
-    const int at = world.registry(0).blocked() > 0 ? 0 : 1;
-    world.registry(1 - at).lag(true);
-    for (int i : {0, 1}) world.registry(i).put(World::key("a"), host_value("terminating"));
-    world.until_list("a-b+c+d+");
-    world.registry(at).stop();
-    world.until([&] { return world.said("a member that lags"); });
-    assert(world.text() == "a-b+c+d+");
-    world.registry(1 - at).lag(false);
-    world.registry(1 - at).put(World::key("b"), host_value("terminating"));
-    world.until_list("a-b-c+d+");
+// The next member lags behind the one that failed. Its older list must not make a draining host ready again.
+void the_list_of_a_lagging_member_is_rejected() {
+    BlockingFixture fixture(2);
+    const int followed = fixture.registry(0).blocked() > 0 ? 0 : 1;
+    fixture.registry(1 - followed).lag(true);
+    for (int i : {0, 1}) fixture.registry(i).put(BlockingFixture::key("a"), host_value("terminating"));
+    fixture.until_list("a-b+c+d+");
+    fixture.registry(followed).stop();
+    fixture.until([&] { return fixture.said("registry member lags behind the known revision"); });
+    assert(fixture.text() == "a-b+c+d+");
+    fixture.registry(1 - followed).lag(false);
+    fixture.registry(1 - followed).put(BlockingFixture::key("b"), host_value("terminating"));
+    fixture.until_list("a-b-c+d+");
 }
 
-// The index went back and nothing is there: the hosts stay, and go once the doubt has passed.
-void lost_data_is_doubted_first() {
-    World world;
-    world.registry().stop();
-    world.registry().forget();
-    world.registry().start();
-    world.until([&] { return world.said("doubt: 4 of 4"); });
-    assert(world.said("counts anew") && world.text() == "a+b+c+d+");
-    world.registry().put(World::key("a"), host_value("terminating")); // told one by one: never doubted
-    world.until([&] { return world.list["a"] == HostStatus::draining; });
-    world.until_list("a-");
+// The registry has lost its data: its index goes back and the prefix is empty. The hosts stay in the list
+// until the doubt about that read has ended.
+void hosts_outlast_the_loss_of_the_registry_data() {
+    BlockingFixture fixture;
+    fixture.registry().stop();
+    fixture.registry().forget();
+    fixture.registry().start();
+    fixture.until([&] { return fixture.said("doubt: 4 of 4"); });
+    assert(fixture.said("counts anew") && fixture.text() == "a+b+c+d+");
+    // A change of a single key is not doubted.
+    fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
+    fixture.until([&] { return fixture.list["a"] == HostStatus::draining; });
+    fixture.until_list("a-");
 }
 
 } // namespace
 
 int main() {
-    entries_are_read_in_any_parts();
-    odd_bodies_are_refused_and_long_values_passed_over();
-    queries_name_the_index_and_never_none_twice();
-    bad_answers_end_the_connection();
-    a_drain_and_a_deletion_are_told();
-    breaks_are_survived_and_nothing_torn_is_believed();
-    a_query_that_is_open_and_dead_is_left();
-    a_member_without_a_leader_is_left_for_another();
-    a_lagging_member_is_not_believed();
-    lost_data_is_doubted_first();
+    entries_are_parsed_however_the_body_is_split();
+    invalid_bodies_are_rejected_and_long_values_skipped();
+    queries_carry_the_last_index_and_restart_when_it_goes_back();
+    invalid_answers_fail_the_connection();
+    drains_and_deletions_change_the_list();
+    broken_connections_are_replaced_and_partial_answers_discarded();
+    a_query_without_an_answer_is_abandoned();
+    a_member_without_a_leader_is_replaced_by_another();
+    the_list_of_a_lagging_member_is_rejected();
+    hosts_outlast_the_loss_of_the_registry_data();
 }
--- a/tests/membership/source_test.cpp
+++ b/tests/membership/source_test.cpp
@@ -117,7 +117,7 @@
     world.watched();
     world.registry().mute(true);
     world.registry().put(World::key("a"), value("terminating"));
-    world.until([&] { return world.said("a watch that is quiet"); });
+    world.until([&] { return world.said("no message on the watch within its timeout"); });
     world.registry().mute(false);
     world.until_list("a-b+c+d+");
     world.settled();
@@ -239,7 +239,7 @@
     world.registry().put(World::key("b"), huge);
     world.begin();
     world.until_list("a+c+d+");
-    world.until([&] { return world.said("unreadable: /hosts/b: a value beyond the bound of messages"); });
+    world.until([&] { return world.said("unreadable: /hosts/b: value exceeds the message size limit"); });
     world.watched();
     world.registry().write(
         {{0, World::key("c"), huge, false}, {0, World::key("d"), value("terminating"), false}});
