--- a/fuzz/answer.cpp
+++ b/fuzz/answer.cpp
@@ -1,4 +1,4 @@
-// Fuzz target: the parser of HTTP/1.1 answers gives the same result and body however the bytes are split.
+// Fuzz target: the parser of HTTP/1.1 responses gives the same result and body however the bytes are split.
 #include "net/http/response.hpp"
 #include "target.hpp"
 
--- a/src/membership/blocking/entry_parser.cpp
+++ b/src/membership/blocking/entry_parser.cpp
@@ -16,7 +16,7 @@
     static constexpr std::size_t max_object_size = -1, max_array_size = -1, max_key_size = -1,
                                  max_string_size = -1;
 
-    // Longer field names are truncated: none of the fields that are read is as long.
+    // The rest of a longer field name is dropped: the names that the parser looks for are shorter.
     static constexpr std::size_t kMaxFieldNameBytes = 64;
 
     enum class Field { other, key, value, modify_index };
--- a/src/membership/blocking/entry_parser.hpp
+++ b/src/membership/blocking/entry_parser.hpp
@@ -1,8 +1,7 @@
-// Parses the body of an answer to a blocking query incrementally: a JSON array
-// of objects with the fields Key, Value (base64) and ModifyIndex, as Consul's
-// KV API returns it. The parser never buffers a whole body: a value longer than
-// its limit is skipped while it arrives, and its entry carries an error
-// instead. A key longer than its limit makes the whole body invalid.
+// Parses the body of a response to a blocking query as it arrives: a JSON array of objects with the fields
+// Key, Value (base64) and ModifyIndex, as Consul's KV API returns it. The parser never holds a whole body: a
+// value longer than its limit is skipped, and its entry carries an error instead. A key longer than its limit
+// makes the whole body invalid.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +29,7 @@
     ~EntryParser();
     EntryParser(const EntryParser &) = delete;
 
-    // Returns false if the body is not such an array; `error` then gives the
-    // reason.
+    // Returns false if the body is not such an array; `error` then gives the reason.
     bool feed(std::string_view bytes);
     // Ends the body. Returns true if the array was complete.
     bool end();
--- a/src/membership/blocking/follower.cpp
+++ b/src/membership/blocking/follower.cpp
@@ -51,7 +51,7 @@
 void Follower::begin(Ticks now) {
     now_ = now;
     view_.broken(); // requests on an earlier connection are lost
-    view_.ask(); // any answer is a whole read, so it satisfies whatever the view requests
+    view_.ask(); // any response is a whole read, so it satisfies whatever the view requests
     send_query();
 }
 
@@ -68,9 +68,9 @@
     unsent_ += "GET " + path + " HTTP/1.1\r\nHost: " + authority_ + "\r\n";
     if (!token_.empty()) unsent_ += "X-Consul-Token: " + token_ + "\r\n";
     unsent_ += "\r\n";
-    answer_.emplace(kMaxHeadBytes, kMaxBodyBytes);
+    response_.emplace(kMaxHeadBytes, kMaxBodyBytes);
     for (const char *field : {"X-Consul-Index", "X-Consul-KnownLeader", "X-Consul-LastContact"})
-        answer_->capture_header(field);
+        response_->capture_header(field);
     parser_.emplace([this](Entry entry) { handle_entry(std::move(entry)); });
     view_.begin_read();
     // The server itself extends the wait by up to a sixteenth.
@@ -97,20 +97,20 @@
 }
 
 bool Follower::check_header() {
-    if (answer_->status() != 200 && answer_->status() != 404) {
-        fail("status " + std::to_string(answer_->status()));
+    if (response_->status() != 200 && response_->status() != 404) {
+        fail("status " + std::to_string(response_->status()));
         return false;
     }
-    if (answer_->captured_header(kKnownLeader) == "false") {
+    if (response_->captured_header(kKnownLeader) == "false") {
         fail("registry member has no leader");
         return false;
     }
-    if (parse_number(answer_->captured_header(kLastContact), 0) * 10 > timing_.max_leader_silence) {
+    if (parse_number(response_->captured_header(kLastContact), 0) * 10 > timing_.max_leader_silence) {
         fail("registry member lost contact with its leader");
         return false;
     }
-    if (parse_number(answer_->captured_header(kIndex), -1) < 0) {
-        fail("answer without a valid X-Consul-Index header");
+    if (parse_number(response_->captured_header(kIndex), -1) < 0) {
+        fail("response without a valid X-Consul-Index header");
         return false;
     }
     return true;
@@ -118,34 +118,34 @@
 
 bool Follower::feed(std::string_view bytes, Ticks now) {
     now_ = std::max(now_, now);
-    if (!answer_ || answer_->is_complete()) {
+    if (!response_ || response_->is_complete()) {
         fail("unsolicited bytes from the registry");
         return false;
     }
-    answer_->feed(bytes);
-    if (answer_->is_malformed()) {
-        fail("malformed HTTP answer");
+    response_->feed(bytes);
+    if (response_->is_malformed()) {
+        fail("malformed HTTP response");
         return false;
     }
-    if (answer_->has_status() && !check_header()) return false;
-    const std::string body = answer_->take_body();
+    if (response_->has_status() && !check_header()) return false;
+    const std::string body = response_->take_body();
     // Status 404 means that no key is under the prefix; its body is a text for people and is ignored.
-    if (answer_->status() == 200 && !body.empty() && !parser_->feed(body)) {
-        fail("malformed answer body: " + parser_->error());
+    if (response_->status() == 200 && !body.empty() && !parser_->feed(body)) {
+        fail("malformed response body: " + parser_->error());
         return false;
     }
-    if (answer_->is_complete()) handle_answer();
+    if (response_->is_complete()) handle_response();
     return !dead();
 }
 
-void Follower::handle_answer() {
-    if (answer_->status() == 200 && !parser_->end())
-        return fail("malformed answer body: JSON ends too early");
+void Follower::handle_response() {
+    if (response_->status() == 200 && !parser_->end())
+        return fail("malformed response body: JSON ends too early");
     view_.page(std::exchange(page_, {}));
     // At least 1: a query with index 0 never blocks, and the list would be read in a loop.
-    const std::int64_t index = std::max<std::int64_t>(1, parse_number(answer_->captured_header(kIndex), 1));
-    const bool stays_open = answer_->keep_alive();
-    answer_.reset();
+    const std::int64_t index = std::max<std::int64_t>(1, parse_number(response_->captured_header(kIndex), 1));
+    const bool stays_open = response_->keep_alive();
+    response_.reset();
     if (index < index_ && !std::exchange(index_went_back_, true)) {
         view_.drop_read(); // only a read without an index shows the list as it is now
         view_.ask();
@@ -164,21 +164,21 @@
 void Follower::clock(Ticks now) {
     now_ = std::max(now_, now);
     if (dead()) return;
-    view_.ask(); // the next answer is a whole read and satisfies the request
+    view_.ask(); // the next response is a whole read and satisfies the request
     if (next_query_at_ >= 0 && now_ >= next_query_at_) return send_query();
     // Without a timeout, a dead connection that stays open would hide drains for longer than the wait.
     if (next_query_at_ < 0 && now_ >= answer_deadline_) fail("blocking query not answered in time");
 }
 
 void Follower::ended() {
-    if (answer_ && !answer_->is_complete()) {
-        answer_->end_of_stream();
-        if (answer_->is_complete() && !answer_->is_malformed()) {
-            const std::string body = answer_->take_body();
+    if (response_ && !response_->is_complete()) {
+        response_->end_of_stream();
+        if (response_->is_complete() && !response_->is_malformed()) {
+            const std::string body = response_->take_body();
             if (!check_header()) return;
-            if (answer_->status() == 200 && !body.empty() && !parser_->feed(body))
-                return fail("malformed answer body: " + parser_->error());
-            handle_answer();
+            if (response_->status() == 200 && !body.empty() && !parser_->feed(body))
+                return fail("malformed response body: " + parser_->error());
+            handle_response();
         }
     }
     fail("the connection ended");
--- a/src/membership/blocking/follower.hpp
+++ b/src/membership/blocking/follower.hpp
@@ -22,7 +22,7 @@
 struct Timing {
     Ticks query_wait = 50000; // how long the server may hold a query; up to a sixteenth is added at random
     Ticks answer_timeout = 20000; // for the answer, in addition to the query's wait
-    Ticks query_gap = 500; // from an answer to the next query; bounds the rate when the list keeps changing
+    Ticks query_gap = 500; // from a response to the next query; bounds the rate when the list keeps changing
     Ticks max_leader_silence = 50000; // a member without contact to its leader for longer is not used
 };
 
@@ -41,8 +41,8 @@
   private:
     void send_query();
     void handle_entry(Entry entry);
-    void handle_answer();
-    // Checks the status and the header fields of the answer; fails the connection if they are unacceptable.
+    void handle_response();
+    // Checks the status and the header fields of the response; fails the connection if they are unacceptable.
     bool check_header();
 
     View &view_;
@@ -50,11 +50,11 @@
     const std::string prefix_, authority_, token_;
     const Timing timing_;
     Pcg32 random_;
-    std::optional<http::Response> answer_; // to the outstanding query
-    std::optional<EntryParser> parser_; // of that answer's body
+    std::optional<http::Response> response_; // to the outstanding query
+    std::optional<EntryParser> parser_; // of its body
     std::vector<Record> page_; // records that the view has not received yet
-    std::int64_t index_ = 0; // of the last answer; 0: the next query does not block
-    bool index_went_back_ = false; // the last answer's index was below the one before
+    std::int64_t index_ = 0; // of the last response; 0: the next query does not block
+    bool index_went_back_ = false; // the last response's index was below the one before
     Ticks now_ = 0;
     Ticks answer_deadline_ = 0;
     Ticks next_query_at_ = -1; // below 0 while a query is outstanding
--- a/src/membership/etcd/follower.cpp
+++ b/src/membership/etcd/follower.cpp
@@ -54,7 +54,7 @@
     page_start_ = from;
     request.set_limit(static_cast<std::int64_t>(page_limit_));
     request.set_keys_only(keys_only_);
-    request.set_revision(read_revision_); // 0 for the first page: its answer sets the revision of the rest
+    request.set_revision(read_revision_); // 0 for the first page: its response sets the revision of the rest
     page_call_ = session_.start_call("/etcdserverpb.KV/Range", authority_, token_);
     session_.send(page_call_, request.SerializeAsString(), true);
     deadline_ = now_ + timing_.answer_timeout;
@@ -141,7 +141,7 @@
     }
     if (event.call == page_call_) return handle_page(event.data);
     if (event.call == watch_call_) return handle_watch_message(event.data);
-    if (event.call == audit_call_) return handle_audit_answer(event.data);
+    if (event.call == audit_call_) return handle_audit_response(event.data);
 }
 
 // One huge value must not keep the rest of the list from being read: requests fewer keys per page and, for a
@@ -149,7 +149,7 @@
 void Follower::shrink_page() {
     page_call_ = -1;
     if (page_limit_ == 1 && std::exchange(keys_only_, true))
-        return fail("range answer too large even for one key without its value");
+        return fail("range response too large even for one key without its value");
     page_limit_ = std::max<std::size_t>(1, page_limit_ / 8);
     read_page(page_start_);
 }
@@ -168,7 +168,7 @@
 
 void Follower::handle_page(const std::string &bytes) {
     etcdserverpb::RangeResponse response;
-    if (!response.ParseFromString(bytes) || !response.has_header()) return fail("malformed range answer");
+    if (!response.ParseFromString(bytes) || !response.has_header()) return fail("malformed range response");
     if (read_revision_ == 0) read_revision_ = response.header().revision();
     std::vector<Record> records;
     for (const auto &key_value : response.kvs()) {
@@ -219,7 +219,7 @@
     start_next_step();
 }
 
-void Follower::handle_audit_answer(const std::string &bytes) {
+void Follower::handle_audit_response(const std::string &bytes) {
     audit_call_ = -1;
     etcdserverpb::RangeResponse response;
     if (!response.ParseFromString(bytes) || view_.doubting()) return;
--- a/src/membership/etcd/follower.hpp
+++ b/src/membership/etcd/follower.hpp
@@ -40,7 +40,7 @@
     void handle_event(const http2::Event &event) override;
     void handle_page(const std::string &bytes);
     void handle_watch_message(const std::string &bytes);
-    void handle_audit_answer(const std::string &bytes);
+    void handle_audit_response(const std::string &bytes);
     void request_progress();
     void start_audit();
     Record to_record(const etcdserverpb::KeyValue &key_value, bool deleted) const;
@@ -52,7 +52,7 @@
     const std::size_t page_size_;
     State state_ = State::idle;
     std::int32_t page_call_ = -1, watch_call_ = -1, audit_call_ = -1; // below 0: no such call is open
-    std::int64_t read_revision_ = 0; // of all pages of the read in progress; 0: before the first answer
+    std::int64_t read_revision_ = 0; // of all pages of the read in progress; 0: before the first response
     std::string page_start_; // first key of the requested page
     std::size_t page_limit_ = 0; // keys requested for that page: fewer than usual after a page was too large
     bool keys_only_ = false; // the page's only key has a value beyond the message size limit
--- a/src/membership/etcd/registrar.cpp
+++ b/src/membership/etcd/registrar.cpp
@@ -133,17 +133,17 @@
     if (event.call == grant_call_) {
         etcdserverpb::LeaseGrantResponse response;
         if (!response.ParseFromString(event.data) || response.id() == 0)
-            return fail("malformed lease grant answer");
+            return fail("malformed lease grant response");
         lease_ = {response.id(), false};
     }
     if (event.call == ttl_call_) {
         etcdserverpb::LeaseTimeToLiveResponse response;
-        if (!response.ParseFromString(event.data)) return fail("malformed lease time-to-live answer");
+        if (!response.ParseFromString(event.data)) return fail("malformed lease time-to-live response");
         if (response.ttl() <= 0) lease_ = {}; // the lease expired unrenewed, and its key with it
     }
     if (event.call == keep_alive_call_) {
         etcdserverpb::LeaseKeepAliveResponse response;
-        if (!response.ParseFromString(event.data)) return fail("malformed lease keep-alive answer");
+        if (!response.ParseFromString(event.data)) return fail("malformed lease keep-alive response");
         answer_deadline_ = -1;
         if (response.ttl() > 0) {
             return;
--- a/tests/membership/blocking_test.cpp
+++ b/tests/membership/blocking_test.cpp
@@ -109,14 +109,14 @@
     };
     const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n";
     assert(failure_of("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") == "status 500");
-    assert(failure_of(head + "\r\n[]") == "answer without a valid X-Consul-Index header");
+    assert(failure_of(head + "\r\n[]") == "response without a valid X-Consul-Index header");
     assert(failure_of(head + "X-Consul-Index: 5\r\nX-Consul-KnownLeader: false\r\n\r\n[]") ==
            "registry member has no leader");
     assert(failure_of(head + "X-Consul-Index: 5\r\nX-Consul-LastContact: 6000\r\n\r\n[]") ==
            "registry member lost contact with its leader");
     assert(failure_of(head + "X-Consul-Index: 5\r\n\r\n{}").find("not a JSON array") != std::string::npos);
     assert(failure_of(head + "X-Consul-Index: 5\r\n\r\n[") == "the connection ended");
-    assert(failure_of("noise\r\n\r\n") == "malformed HTTP answer");
+    assert(failure_of("noise\r\n\r\n") == "malformed HTTP response");
     assert(failure_of(head + "X-Consul-Index: 5\r\n\r\n[]HTTP/1.1 200 OK\r\n") ==
            "registry member closes the connection");
     FollowerFixture silent;
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -301,7 +301,7 @@
     page.server.send_answer_headers(page.server.calls[0]);
     page.server.send(page.server.calls[0], std::string("\0\0\0\0\3\xff\xff\xff", 8), 0);
     page.exchange_bytes();
-    assert(page.follower.why() == "malformed range answer" && !page.view.synced());
+    assert(page.follower.why() == "malformed range response" && !page.view.synced());
 }
 
 // The size of a watch batch whose fragments never end is limited.
