--- a/src/membership/blocking/follower.hpp
+++ b/src/membership/blocking/follower.hpp
@@ -18,7 +18,7 @@
 
 namespace pineridge::membership::blocking {
 
-// Intervals and timeouts, in ticks.
+// Intervals and timeouts, in ticks of 0.1 ms.
 struct Timing {
     Ticks query_wait = 50000; // how long the server may hold a query; up to a sixteenth is added at random
     Ticks answer_timeout = 20000; // for the answer, in addition to the query's wait
--- a/src/membership/etcd/follower.cpp
+++ b/src/membership/etcd/follower.cpp
@@ -144,8 +144,8 @@
     if (event.call == audit_call_) return handle_audit_response(event.data);
 }
 
-// One huge value must not keep the rest of the list from being read: requests fewer keys per page and, for a
-// key whose value alone is too large, only the key and its revision.
+// One huge value must not keep the rest of the list from being read. This repeats the read with fewer keys
+// per page and, for a key whose value alone is too large, without its value.
 void Follower::shrink_page() {
     page_call_ = -1;
     if (page_limit_ == 1 && std::exchange(keys_only_, true))
--- a/src/membership/etcd/follower.hpp
+++ b/src/membership/etcd/follower.hpp
@@ -12,7 +12,7 @@
 
 namespace pineridge::membership::etcd {
 
-// Intervals and timeouts, in ticks.
+// Intervals and timeouts, in ticks of 0.1 ms.
 struct Timing {
     Ticks answer_timeout = 20000; // for one page of a read, or for the creation of the watch
     Ticks progress_interval = 10000; // between progress requests
--- a/src/membership/etcd/registrar.hpp
+++ b/src/membership/etcd/registrar.hpp
@@ -13,7 +13,7 @@
 struct LeasedKey {
     std::string key, value;
     std::int64_t ttl_s = 10; // of the lease, in seconds
-    Ticks answer_timeout = 20000; // for each answer, in ticks
+    Ticks answer_timeout = 20000; // for each answer, in ticks of 0.1 ms
 };
 
 class Registrar final : public GrpcPeer {
