--- a/bench/admission_stall.cpp
+++ b/bench/admission_stall.cpp
@@ -1,10 +1,11 @@
-// One stall of a router under open-loop clients, and how long until service returns: the program is stopped
-// for a moment (SIGSTOP) while clients with patience and two retries go on asking, each on an idle connection
-// or a new one.
+// Measures how long a router takes to recover from a stall. The program is stopped with SIGSTOP while
+// open-loop clients with a timeout and two retries keep sending RPCs, each on an idle connection or a new
+// one.
 //
 //   build/tests/bench_admission_stall PROGRAM [RATE SOCKETS STALL_MS...]
 //
-// Prints, for each stall, how long after its end 90% of the RPCs of each 0.2 s are served within 0.5 s again.
+// Prints, for each stall, the time from its end until 90% of the RPCs sent in each 0.2 s are served within
+// 0.5 s again.
 #include "standins/program/program.hpp"
 #include "standins/town/town.hpp"
 
@@ -17,9 +18,12 @@
 
 namespace {
 
-constexpr std::int64_t kWindow = 200, kCalm = 2000, kAfter = 8000, kInTime = 500; // ms
+constexpr std::int64_t kWindowMs = 200;
+constexpr std::int64_t kBaselineMs = 2000;
+constexpr std::int64_t kRecoveryMs = 8000; // after the stall
+constexpr std::int64_t kInTimeMs = 500;
 
-void play(const std::string &program, int rate, int sockets, int stall) {
+void run_stall(const std::string &program, int rate, int sockets, int stall_ms) {
     asio::io_context io;
     Plot plot;
     plot.sockets = sockets;
@@ -31,44 +35,56 @@
     Program router(town.folder, program, {"serve", "--config", (town.folder / "config.json").string()});
     while (router.said().find("serving") == std::string::npos) run_for(io, std::chrono::milliseconds(20));
     for (const std::string &customer : plot.customers) town.flow(customer, rate / 3.0);
-    run_for(io, std::chrono::milliseconds(kCalm / 2)); // connections are made
-    const double before = router.cpu_s();
-    run_for(io, std::chrono::milliseconds(kCalm));
-    const double calm_cpu = router.cpu_s() - before;
+    run_for(io, std::chrono::milliseconds(kBaselineMs / 2)); // the clients connect
+    const double baseline_cpu_began_s = router.cpu_s();
+    run_for(io, std::chrono::milliseconds(kBaselineMs));
+    const double baseline_cpu_s = router.cpu_s() - baseline_cpu_began_s;
     router.signal(SIGSTOP);
-    run_for(io, std::chrono::milliseconds(stall));
+    run_for(io, std::chrono::milliseconds(stall_ms));
     router.signal(SIGCONT);
-    const std::int64_t woke = Town::now();
-    const double woken = router.cpu_s();
-    run_for(io, std::chrono::milliseconds(kAfter));
-    const double after_cpu = router.cpu_s() - woken;
+    const std::int64_t resumed_at_ms = Town::now();
+    const double recovery_cpu_began_s = router.cpu_s();
+    run_for(io, std::chrono::milliseconds(kRecoveryMs));
+    const double recovery_cpu_s = router.cpu_s() - recovery_cpu_began_s;
     town.stop();
     run_for(io, std::chrono::milliseconds(1200));
-    std::vector<int> asked(kAfter / kWindow + 1), good(kAfter / kWindow + 1);
+    std::vector<int> sent(kRecoveryMs / kWindowMs + 1);
+    std::vector<int> in_time_counts(kRecoveryMs / kWindowMs + 1);
     std::map<std::string, int> answers;
-    int calm = 0, calm_good = 0;
+    int baseline_sent = 0;
+    int baseline_in_time = 0;
     for (const Asked &row : town.clients.asked()) {
-        const bool in_time = row.answer == "served" && row.took <= kInTime;
-        if (row.at < woke - stall - 1000) ++calm, calm_good += in_time;
-        if (row.at < woke) continue;
+        const bool in_time = row.answer == "served" && row.took <= kInTimeMs;
+        if (row.at < resumed_at_ms - stall_ms - 1000) {
+            ++baseline_sent;
+            baseline_in_time += in_time;
+        }
+        if (row.at < resumed_at_ms) continue;
         ++answers[row.answer];
-        const auto at = static_cast<std::size_t>((row.at - woke) / kWindow);
-        if (at < asked.size()) ++asked[at], good[at] += in_time;
+        const auto window = static_cast<std::size_t>((row.at - resumed_at_ms) / kWindowMs);
+        if (window < sent.size()) {
+            ++sent[window];
+            in_time_counts[window] += in_time;
+        }
     }
-    // The first window from which on four in a row are good.
-    std::int64_t back = -1;
-    for (std::size_t i = 0; i + 4 <= static_cast<std::size_t>(kAfter / kWindow) && back < 0; ++i)
-        if (std::all_of(&asked[i], &asked[i + 4], [&](const int &one) {
-                return good[static_cast<std::size_t>(&one - asked.data())] >= one * 0.9;
+    // Service has recovered at the first of four consecutive windows with 90% of the RPCs served in time.
+    std::int64_t recovery_ms = -1;
+    for (std::size_t i = 0; i + 4 <= static_cast<std::size_t>(kRecoveryMs / kWindowMs) && recovery_ms < 0;
+         ++i)
+        if (std::all_of(&sent[i], &sent[i + 4], [&](const int &count) {
+                return in_time_counts[static_cast<std::size_t>(&count - sent.data())] >= count * 0.9;
             }))
-            back = static_cast<std::int64_t>(i) * kWindow;
-    std::cout << rate << " a second, " << sockets << " descriptors, stall " << stall << " ms: calm "
-              << (calm > 0 ? 100 * calm_good / calm : 0) << "% in time; "
-              << (back < 0 ? "never back in 8 s" : "back after " + std::to_string(back) + " ms") << ";";
+            recovery_ms = static_cast<std::int64_t>(i) * kWindowMs;
+    std::cout << rate << " RPCs per second, " << sockets << " descriptors, stall of " << stall_ms
+              << " ms: baseline " << (baseline_sent > 0 ? 100 * baseline_in_time / baseline_sent : 0)
+              << "% in time; "
+              << (recovery_ms < 0 ? "no recovery within 8 s"
+                                  : "recovered after " + std::to_string(recovery_ms) + " ms")
+              << ";";
     for (const auto &[answer, count] : answers)
         std::cout << " " << (answer.empty() ? "open" : answer) << " " << count;
-    std::cout << "; CPU calm " << calm_cpu * 1000 / kCalm << ", after " << after_cpu * 1000 / kAfter
-              << " of a core" << std::endl;
+    std::cout << "; CPU: baseline " << baseline_cpu_s * 1000 / kBaselineMs << ", after "
+              << recovery_cpu_s * 1000 / kRecoveryMs << " of a core" << std::endl;
 }
 
 } // namespace
@@ -76,9 +92,10 @@
 int main(int argc, char **argv) {
     if (argc < 2) return 2;
     allow_descriptors(60000);
-    const int rate = argc > 2 ? std::atoi(argv[2]) : 8500, sockets = argc > 3 ? std::atoi(argv[3]) : 1024;
-    std::vector<int> stalls;
-    for (int i = 4; i < argc; ++i) stalls.push_back(std::atoi(argv[i]));
-    if (stalls.empty()) stalls = {20, 50, 100, 200, 500};
-    for (const int stall : stalls) play(argv[1], rate, sockets, stall);
+    const int rate = argc > 2 ? std::atoi(argv[2]) : 8500;
+    const int sockets = argc > 3 ? std::atoi(argv[3]) : 1024;
+    std::vector<int> stalls_ms;
+    for (int i = 4; i < argc; ++i) stalls_ms.push_back(std::atoi(argv[i]));
+    if (stalls_ms.empty()) stalls_ms = {20, 50, 100, 200, 500};
+    for (const int stall_ms : stalls_ms) run_stall(argv[1], rate, sockets, stall_ms);
 }
--- a/bench/membership_drain.cpp
+++ b/bench/membership_drain.cpp
@@ -1,5 +1,6 @@
-// Time from the writing of a drain into the registry to the last pick at its host: a whole router on loopback
-// at 500 RPCs a second, a registry on grpc++; calm and in faults.
+// Measures the time from the write of a host's drain to the registry until the last pick at that host,
+// without faults and under registry faults. A complete router on loopback serves 500 RPCs per second; the
+// registry is implemented with gRPC C++.
 //
 //   build/tests/bench_membership_drain [DRAINS]
 #include "../tests/membership/world.hpp"
@@ -10,24 +11,24 @@
     const int drains = argc > 1 ? std::atoi(argv[1]) : 20;
     pineridge::test::RegistryWorld world;
     auto host = world.town.hosts.begin();
-    const auto nothing = [] {};
+    const auto no_action = [] {};
     const auto measure = [&](const char *name, const std::function<void()> &before,
                              const std::function<void()> &after) {
-        std::vector<double> took;
+        std::vector<double> delays_ms;
         for (int i = 0; i < drains; ++i) {
             if (++host == world.town.hosts.end()) host = world.town.hosts.begin();
-            took.push_back(world.drain(*host, before, after));
+            delays_ms.push_back(world.drain(*host, before, after));
         }
-        std::sort(took.begin(), took.end());
-        const auto part = [&](double share) {
-            return took[static_cast<std::size_t>(share * (took.size() - 1))];
+        std::sort(delays_ms.begin(), delays_ms.end());
+        const auto quantile = [&](double share) {
+            return delays_ms[static_cast<std::size_t>(share * (delays_ms.size() - 1))];
         };
-        std::cout << name << ": p50 " << part(0.5) << " ms, p99 " << part(0.99) << " ms, most " << took.back()
-                  << " ms of " << drains << "\n";
+        std::cout << name << ": p50 " << quantile(0.5) << " ms, p99 " << quantile(0.99) << " ms, most "
+                  << delays_ms.back() << " ms of " << drains << "\n";
     };
-    measure("calm", nothing, nothing);
+    measure("no faults", no_action, no_action);
     measure(
-        "stream cancelled just before", [&] { world.registry.drop(); }, nothing);
+        "watch cancelled just before the drain", [&] { world.registry.drop(); }, no_action);
     measure(
-        "told to nobody (a look each 0.4 s)", [&] { world.registry.pass_over(1); }, nothing);
+        "watch event lost (audit every 0.4 s)", [&] { world.registry.pass_over(1); }, no_action);
 }
--- a/bench/membership_scale.cpp
+++ b/bench/membership_scale.cpp
@@ -1,4 +1,6 @@
-// A registry on grpc++ with many hosts and many routers' worth of sources, all on this machine.
+// Measures the registry clients of many routers against a gRPC C++ registry with many hosts, in one process.
+// `drains` measures how long drains take to reach every router, `resync` how long a full read takes, and
+// `return` the load on the registry when it comes back after an outage with its history compacted.
 //
 //   build/tests/bench_membership_scale drains [HOSTS ROUTERS CHANGES_A_SECOND SECONDS]
 //   build/tests/bench_membership_scale resync
@@ -17,7 +19,7 @@
 
 namespace {
 
-// Of the size that a real entry has.
+// Returns a registry value of the size of a real host entry.
 std::string value_of(int i) {
     return R"({"id":"s-)" + std::to_string(10000000 + i) +
            R"(","addr":"10.1.0.18:6379","zone":"a","kind":"m2","cell":3,)" +
@@ -25,16 +27,17 @@
 }
 
 void fill(standins::Registry &registry, int hosts) {
-    std::vector<standins::Word> words;
-    for (int i = 0; i < hosts; ++i) words.push_back({0, "/hosts/h" + std::to_string(i), value_of(i), false});
-    registry.write(words);
+    std::vector<standins::Word> records;
+    for (int i = 0; i < hosts; ++i)
+        records.push_back({0, "/hosts/h" + std::to_string(i), value_of(i), false});
+    registry.write(records);
 }
 
-void wait_for(const std::function<bool()> &held) {
-    while (!held()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+void wait_for(const std::function<bool()> &condition) {
+    while (!condition()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
 }
 
-void drains(int hosts, int routers, int changes, int seconds) {
+void measure_drains(int hosts, int routers, int changes, int seconds) {
     standins::Registry registry;
     fill(registry, hosts);
     Fleet fleet(registry, routers, 4, 0);
@@ -54,40 +57,42 @@
     std::this_thread::sleep_for(std::chrono::seconds(2));
     std::vector<Ticks> times = fleet.take_times();
     std::sort(times.begin(), times.end());
-    const auto part = [&](double share) {
+    const auto quantile_ms = [&](double share) {
         return times[static_cast<std::size_t>(share * (times.size() - 1))] / 10.0;
     };
-    std::cout << hosts << " hosts, " << routers << " routers, " << changes << " changes a second for "
-              << seconds << " s: " << drained << " drains told " << times.size() << " times, p50 "
-              << part(0.5) << " ms, p99 " << part(0.99) << " ms, most " << part(1) << " ms\n";
+    std::cout << hosts << " hosts, " << routers << " routers, " << changes << " changes per second for "
+              << seconds << " s: " << drained << " drains, received " << times.size() << " times, p50 "
+              << quantile_ms(0.5) << " ms, p99 " << quantile_ms(0.99) << " ms, most " << quantile_ms(1)
+              << " ms\n";
 }
 
-template <class Begin> void resync_once(const char *name, int hosts, const Begin &begin) {
+template <class MakePlot> void measure_one_resync(const char *name, int hosts, const MakePlot &make_plot) {
     boost::asio::io_context io(1);
     std::ostringstream logged;
     const Log log(logged, "bench", Level::error);
     const Limits limits{};
     const auto began = Clock::now();
-    std::shared_ptr<standins::Blocking> kept; // goes before the loop
-    Plot plot = begin(io, kept);
+    std::shared_ptr<standins::Blocking> server; // destroyed before the event loop
+    Plot plot = make_plot(io, server);
     Source source(
         io, std::move(plot), read_value, limits, log, 7, [&] { return ticks_since(began); },
         [](const Listing &) {});
     const auto start = Clock::now();
     source.begin();
     while (!source.view().synced()) io.run_one();
-    const double took = std::chrono::duration<double, std::milli>(Clock::now() - start).count();
-    std::cout << name << ", " << hosts << " hosts: " << took << " ms, " << source.heard() / 1024 << " KiB\n";
+    const double elapsed_ms = std::chrono::duration<double, std::milli>(Clock::now() - start).count();
+    std::cout << name << ", " << hosts << " hosts: " << elapsed_ms << " ms, " << source.heard() / 1024
+              << " KiB\n";
     source.stop();
     io.run_for(std::chrono::milliseconds(50));
 }
 
-void resync() {
+void measure_resync() {
     for (const int hosts : {100, 1000, 10000}) {
         standins::Registry registry;
         fill(registry, hosts);
         for (int round = 0; round < 3; ++round)
-            resync_once("etcd", hosts, [&](boost::asio::io_context &, auto &) {
+            measure_one_resync("etcd", hosts, [&](boost::asio::io_context &, auto &) {
                 Plot plot;
                 plot.endpoints = {read_address(registry.address(), "endpoint")};
                 plot.follow = [](View &view, const std::string &authority) {
@@ -97,11 +102,11 @@
                 return plot;
             });
         for (int round = 0; round < 3; ++round)
-            resync_once("blocking queries", hosts, [&](boost::asio::io_context &io, auto &asked) {
-                asked = std::make_shared<standins::Blocking>(io);
-                for (int i = 0; i < hosts; ++i) asked->put("hosts/h" + std::to_string(i), value_of(i));
+            measure_one_resync("blocking queries", hosts, [&](boost::asio::io_context &io, auto &server) {
+                server = std::make_shared<standins::Blocking>(io);
+                for (int i = 0; i < hosts; ++i) server->put("hosts/h" + std::to_string(i), value_of(i));
                 Plot plot;
-                plot.endpoints = {read_address(asked->address(), "endpoint")};
+                plot.endpoints = {read_address(server->address(), "endpoint")};
                 plot.follow = [](View &view, const std::string &authority) {
                     return std::make_shared<blocking::Follower>(view, read_value, "hosts/", authority, "",
                                                                 blocking::Timing{}, 3);
@@ -111,9 +116,9 @@
     }
 }
 
-// Pages read in the busiest tenth of a second once the registry, away and with its history compacted, is
-// back.
-void comes_back(int hosts, int routers) {
+// Counts the pages read in the busiest 0.1 s after the registry returns from an outage with its history
+// compacted, for several values of the read spread.
+void measure_return(int hosts, int routers) {
     for (const Ticks spread : {Ticks{0}, Ticks{20000}, Ticks{100000}}) {
         standins::Registry registry;
         fill(registry, hosts);
@@ -124,33 +129,45 @@
         registry.put("/hosts/h0", value_of(0));
         registry.compact(registry.revision());
         registry.take_read_times();
-        const int before = registry.watches();
-        const std::size_t bytes = fleet.bytes();
+        const int watches_before = registry.watches();
+        const std::size_t bytes_before = fleet.bytes();
         registry.start();
         const auto began = Clock::now();
-        // Each watches twice: the one that is refused as compacted, and the one behind its read.
-        wait_for([&] { return registry.watches() >= before + 2 * routers; });
-        const double took = std::chrono::duration<double>(Clock::now() - began).count();
-        std::map<long, int> busy;
-        int most = 0;
-        for (const auto &at : registry.take_read_times())
-            most = std::max(
-                most,
-                ++busy[std::chrono::duration_cast<std::chrono::milliseconds>(at - began).count() / 100]);
+        // Each router opens two watches: one is refused as compacted, the other follows the full read.
+        wait_for([&] { return registry.watches() >= watches_before + 2 * routers; });
+        const double elapsed_s = std::chrono::duration<double>(Clock::now() - began).count();
+        std::map<long, int> pages_per_interval;
+        int max_pages = 0;
+        for (const auto &read_at : registry.take_read_times())
+            max_pages = std::max(
+                max_pages,
+                ++pages_per_interval
+                    [std::chrono::duration_cast<std::chrono::milliseconds>(read_at - began).count() / 100]);
         std::cout << hosts << " hosts, " << routers << " routers, spread " << spread / 10000.0
-                  << " s: all back after " << took << " s, at most " << most << " pages in 0.1 s, "
-                  << (fleet.bytes() - bytes) / 1048576 << " MiB in all\n";
+                  << " s: all routers watch again after " << elapsed_s << " s, at most " << max_pages
+                  << " pages in 0.1 s, " << (fleet.bytes() - bytes_before) / 1048576 << " MiB in all\n";
     }
 }
 
 } // namespace
 
 int main(int argc, char **argv) {
-    const std::string what = argc > 1 ? argv[1] : "";
-    const auto number = [&](int at, int otherwise) { return argc > at ? std::atoi(argv[at]) : otherwise; };
-    if (what == "drains") return drains(number(2, 10000), number(3, 180), number(4, 500), number(5, 20)), 0;
-    if (what == "resync") return resync(), 0;
-    if (what == "return") return comes_back(number(2, 1000), number(3, 180)), 0;
-    std::cerr << "drains, resync or return\n";
+    const std::string command = argc > 1 ? argv[1] : "";
+    const auto argument_or = [&](int index, int fallback) {
+        return argc > index ? std::atoi(argv[index]) : fallback;
+    };
+    if (command == "drains") {
+        measure_drains(argument_or(2, 10000), argument_or(3, 180), argument_or(4, 500), argument_or(5, 20));
+        return 0;
+    }
+    if (command == "resync") {
+        measure_resync();
+        return 0;
+    }
+    if (command == "return") {
+        measure_return(argument_or(2, 1000), argument_or(3, 180));
+        return 0;
+    }
+    std::cerr << "usage: bench_membership_scale drains|resync|return [...]\n";
     return 2;
 }
--- a/bench/release_cost.cpp
+++ b/bench/release_cost.cpp
@@ -1,6 +1,7 @@
-// CPU of one RPC in the module (arrival, decisions, end of its pick), without cells and with 1, 1,000 and
-// 100,000 of them, in turn, as ratios to none in the same round. And the plan's memory and cost at 200 zones
-// x 500 customers.
+// Measures the CPU time of one RPC in the decision module (arrival, decisions, end of its pick) without cells
+// and with 1, 1,000 and 100,000 cells. Each round measures the four cases in turn and relates them to the
+// case without cells. Also measures the memory and the CPU time of the release plan with 200 zones and 500
+// customers.
 //
 //   build/tests/bench_release_cost [ROUNDS]
 #include "../tests/helpers.hpp"
@@ -21,114 +22,122 @@
 
 struct Load {
     explicit Load(int cells)
-        : cells_(cells), bench_([&] {
-              DeploymentConfig given = test::deployment_config(RepeatPolicy::idempotent);
-              given.default_cell_share = cells > 0 ? 0 : 1;
-              given.second_copies = false;
-              given.rollout.stage_shares = {0.3, 1};
-              return given;
+        : cells_(cells), fixture_([&] {
+              DeploymentConfig config = test::deployment_config(RepeatPolicy::idempotent);
+              config.default_cell_share = cells > 0 ? 0 : 1;
+              config.second_copies = false;
+              config.rollout.stage_shares = {0.3, 1};
+              return config;
           }()) {
-        bench_.set_time(1000000);
-        for (int i = 0; i < 20; ++i) bench_.add_host("h" + std::to_string(i), 1 + i % 2);
-        bench_.update_rollout(2, 1, Phase::on_trial, 1);
-        for (int cell = 0; cell < cells; ++cell) bench_.router->set_cell_share(2, cell, 0.25);
+        fixture_.set_time(1000000);
+        for (int i = 0; i < 20; ++i) fixture_.add_host("h" + std::to_string(i), 1 + i % 2);
+        fixture_.update_rollout(2, 1, Phase::on_trial, 1);
+        for (int cell = 0; cell < cells; ++cell) fixture_.router->set_cell_share(2, cell, 0.25);
     }
-    // So many RPCs, a tick apart; µs for each.
+    // Sends `rpcs` RPCs, two ticks apart, and returns the mean CPU time of one in microseconds.
     double run(int rpcs) {
         const double began = cpu_us();
         for (int i = 0; i < rpcs; ++i) {
-            bench_.set_time(bench_.now + 2);
-            const std::string id = std::to_string(next_++);
+            fixture_.set_time(fixture_.now + 2);
+            const std::string id = std::to_string(next_id_++);
             const int cell =
-                cells_ > 0 ? static_cast<int>(chance_.draw() % static_cast<unsigned>(cells_)) : -1;
-            bench_.router->rpc_arrived({id, 0, 0, "", bench_.now + 5000, false, cell});
+                cells_ > 0 ? static_cast<int>(random_.draw() % static_cast<unsigned>(cells_)) : -1;
+            fixture_.router->rpc_arrived({id, 0, 0, "", fixture_.now + 5000, false, cell});
             int picks = 0;
-            for (Decision made = bench_.router->next_decision(); made.action != Action::none;
-                 made = bench_.router->next_decision())
-                picks += made.action == Action::pick;
+            for (Decision decision = fixture_.router->next_decision(); decision.action != Action::none;
+                 decision = fixture_.router->next_decision())
+                picks += decision.action == Action::pick;
             for (int pick = 0; pick < picks; ++pick)
-                bench_.router->pick_ended(id, pick, Outcome::ok, 20, true, {});
+                fixture_.router->pick_ended(id, pick, Outcome::ok, 20, true, {});
         }
         return (cpu_us() - began) / rpcs;
     }
 
   private:
-    int cells_, next_ = 0;
-    Pcg32 chance_{7};
-    test::DecisionFixture bench_;
+    int cells_;
+    int next_id_ = 0;
+    Pcg32 random_{7};
+    test::DecisionFixture fixture_;
 };
 
 double resident_mb() {
-    std::ifstream from("/proc/self/statm");
-    double all = 0, resident = 0;
-    from >> all >> resident;
-    return resident * 4096 / 1048576;
+    std::ifstream statm("/proc/self/statm");
+    double total_pages = 0;
+    double resident_pages = 0;
+    statm >> total_pages >> resident_pages;
+    return resident_pages * 4096 / 1048576;
 }
 
-void plan_at_scale() {
-    ReleaseSettings scheme;
-    scheme.service = "booking";
-    scheme.zone = "z0";
-    for (int i = 0; i < 200; ++i) scheme.zones.push_back({"z" + std::to_string(i)});
-    for (int i = 0; i < 500; ++i) scheme.customers.push_back({"c" + std::to_string(i)});
-    scheme.stages = {0, 0.05, 0.25, 1};
-    scheme.wave_gate_stage = 3;
-    const double before = resident_mb();
-    release::Plan plan(scheme);
+void measure_large_plan() {
+    ReleaseSettings settings;
+    settings.service = "booking";
+    settings.zone = "z0";
+    for (int i = 0; i < 200; ++i) settings.zones.push_back({"z" + std::to_string(i)});
+    for (int i = 0; i < 500; ++i) settings.customers.push_back({"c" + std::to_string(i)});
+    settings.stages = {0, 0.05, 0.25, 1};
+    settings.wave_gate_stage = 3;
+    const double memory_before_mb = resident_mb();
+    release::Plan plan(settings);
     plan.set_time(1);
-    release::Snapshot told;
+    release::Snapshot snapshot;
     for (int build = 1; build <= 20; ++build) {
-        told.entries.emplace_back().build = {"booking", build};
+        snapshot.entries.emplace_back().build = {"booking", build};
         for (int cell = 0; cell < 100000; ++cell) {
-            release::Update &entry = told.entries.emplace_back();
+            release::Update &entry = snapshot.entries.emplace_back();
             entry.kind = release::Update::Kind::stage;
             entry.build = {"booking", build};
-            entry.zone = scheme.zones[scheme.zone_of(cell)].name;
-            entry.customer = scheme.customers[scheme.customer_of(cell)].name;
+            entry.zone = settings.zones[settings.zone_of(cell)].name;
+            entry.customer = settings.customers[settings.customer_of(cell)].name;
             entry.stage = 1;
         }
         double began = cpu_us();
         if (build == 20) {
-            plan.apply_snapshot(told);
+            plan.apply_snapshot(snapshot);
             std::cout << "snapshot of 2,000,000 cells: " << (cpu_us() - began) / 1e6 << " s\n";
         }
     }
-    told = {};
-    std::cout << "plan of 200 x 500 cells, 20 builds: " << resident_mb() - before
-              << " MB with what the reading left\n";
+    snapshot = {};
+    std::cout << "plan of 200 x 500 cells, 20 builds: " << resident_mb() - memory_before_mb
+              << " MB, including memory not released after the snapshot\n";
     plan.set_desk_connected(true);
     for (int build = 1; build <= 20; ++build) plan.set_verdict(build, Verdict::advance);
     double began = cpu_us();
     for (int i = 0; i < 100; ++i) plan.set_time(10000 + i * 1000);
-    std::cout << "a beat with every build on trial: " << (cpu_us() - began) / 100 / 1000
-              << " ms, ten a second\n";
+    std::cout << "a plan update with every build on trial: " << (cpu_us() - began) / 100 / 1000
+              << " ms, 10 per second\n";
     began = cpu_us();
-    for (int i = 0; i < 1000000; ++i) plan.record_arrival(i % 500), plan.record_pick(20, i % 500);
-    std::cout << "an RPC in the plan: " << (cpu_us() - began) / 1e6 << " us\n";
+    for (int i = 0; i < 1000000; ++i) {
+        plan.record_arrival(i % 500);
+        plan.record_pick(20, i % 500);
+    }
+    std::cout << "one RPC in the plan: " << (cpu_us() - began) / 1e6 << " us\n";
 }
 
 } // namespace
 
 int main(int argc, char **argv) {
     const int rounds = argc > 1 ? std::atoi(argv[1]) : 15;
-    const std::vector<int> sizes{0, 1, 1000, 100000};
+    const std::vector<int> cell_counts{0, 1, 1000, 100000};
     std::vector<std::unique_ptr<Load>> loads;
-    for (const int size : sizes) loads.push_back(std::make_unique<Load>(size));
-    std::vector<std::vector<double>> ratios(sizes.size()), times(sizes.size());
+    for (const int size : cell_counts) loads.push_back(std::make_unique<Load>(size));
+    std::vector<std::vector<double>> ratios(cell_counts.size());
+    std::vector<std::vector<double>> times_us(cell_counts.size());
     for (auto &load : loads) load->run(30000);
     for (int round = 0; round < rounds; ++round) {
-        std::vector<double> now;
-        for (auto &load : loads) now.push_back(load->run(20000));
-        for (std::size_t i = 0; i < sizes.size(); ++i)
-            times[i].push_back(now[i]), ratios[i].push_back(now[i] / now[0]);
+        std::vector<double> round_us;
+        for (auto &load : loads) round_us.push_back(load->run(20000));
+        for (std::size_t i = 0; i < cell_counts.size(); ++i) {
+            times_us[i].push_back(round_us[i]);
+            ratios[i].push_back(round_us[i] / round_us[0]);
+        }
     }
     std::cout << std::fixed << std::setprecision(3);
-    for (std::size_t i = 0; i < sizes.size(); ++i) {
+    for (std::size_t i = 0; i < cell_counts.size(); ++i) {
         std::sort(ratios[i].begin(), ratios[i].end());
-        std::sort(times[i].begin(), times[i].end());
-        std::cout << std::setw(7) << sizes[i] << " cells: " << times[i][times[i].size() / 2]
-                  << " us an RPC, ratio to none " << ratios[i][ratios[i].size() / 2] << " ("
+        std::sort(times_us[i].begin(), times_us[i].end());
+        std::cout << std::setw(7) << cell_counts[i] << " cells: " << times_us[i][times_us[i].size() / 2]
+                  << " us per RPC, ratio to no cells " << ratios[i][ratios[i].size() / 2] << " ("
                   << ratios[i].front() << " to " << ratios[i].back() << ")\n";
     }
-    plan_at_scale();
+    measure_large_plan();
 }
--- a/bench/release_fairness.cpp
+++ b/bench/release_fairness.cpp
@@ -1,7 +1,8 @@
-// Thousands of drawn releases, bad builds among them, through the real plan: who carries the RPCs at builds
-// that are withdrawn later? Balanced order against first come and against one cell for all. Nothing here is a
-// real server: a drawn build is withdrawn once its faulty picks reach a drawn number, and its picks follow
-// shares and traffic.
+// Simulates thousands of random releases, some of bad builds, through the real release plan, and measures how
+// the RPCs at builds that are later withdrawn spread over the customers. Compares the balanced wave order
+// with customers in configured order and with one cell for all customers. No server is involved: the
+// picks of a build follow shares and traffic, and a bad build is withdrawn once its picks reach a random
+// number.
 //
 //   build/tests/bench_release_fairness [RELEASES] [SEED]
 #include "release/plan.hpp"
@@ -17,152 +18,162 @@
 
 namespace {
 
-const std::vector<double> kTraffic{0.40, 0.25, 0.20, 0.10, 0.05}; // of 200 RPCs a second
-constexpr double kRate = 200;
+const std::vector<double> kTraffic{0.40, 0.25, 0.20, 0.10, 0.05}; // share of each customer
+constexpr double kRate = 200; // RPCs per second, over all customers
 constexpr Ticks kSecond = 10000;
 
-struct Drawn {
+struct RandomRelease {
     bool bad;
-    double detected_at; // picks at it until the module says back
+    double detected_at; // number of picks at which the build is withdrawn if it is bad
 };
 
 struct Result {
-    std::vector<double> withdrawn; // RPCs by customer at builds withdrawn
-    double all = 0; // RPCs
-    int bad = 0, touched = 0; // bad builds; customers that had at least one RPC at one
-    std::vector<double> seconds; // to the release of good builds
+    std::vector<double> withdrawn; // RPCs at withdrawn builds, by customer
+    double total_rpcs = 0; // RPCs at any build
+    int bad = 0; // bad builds
+    int exposed_customers = 0; // pairs of a bad build and a customer that had at least one RPC at it
+    std::vector<double> seconds; // time until each good build was released
 };
 
-ReleaseSettings scheme_for(WaveOrder order, bool one_cell) {
-    ReleaseSettings scheme;
-    scheme.service = "booking";
-    scheme.zone = "z";
-    scheme.zones = {{"z"}};
+ReleaseSettings settings_for(WaveOrder order, bool one_cell) {
+    ReleaseSettings settings;
+    settings.service = "booking";
+    settings.zone = "z";
+    settings.zones = {{"z"}};
     if (one_cell)
-        scheme.customers = {{"all"}};
+        settings.customers = {{"all"}};
     else
         for (std::size_t i = 0; i < kTraffic.size(); ++i)
-            scheme.customers.push_back({"c" + std::to_string(i), 1, kTraffic[i]});
-    scheme.stages = {0, 0.05, 0.25, 1};
-    scheme.order = order;
-    scheme.wave_gate_stage = 2;
-    scheme.min_picks = 20;
-    scheme.opinion_interval = kSecond;
-    return scheme;
+            settings.customers.push_back({"c" + std::to_string(i), 1, kTraffic[i]});
+    settings.stages = {0, 0.05, 0.25, 1};
+    settings.order = order;
+    settings.wave_gate_stage = 2;
+    settings.min_picks = 20;
+    settings.opinion_interval = kSecond;
+    return settings;
 }
 
-Result run(WaveOrder order, bool one_cell, const std::vector<Drawn> &releases) {
+Result run(WaveOrder order, bool one_cell, const std::vector<RandomRelease> &releases) {
     Result result;
     result.withdrawn.assign(kTraffic.size(), 0);
     std::vector<double> carried(kTraffic.size(), 0);
     Ticks now = kSecond;
     std::int64_t rev = 0;
-    Plan plan(scheme_for(order, one_cell));
+    Plan plan(settings_for(order, one_cell));
     plan.set_time(now);
     plan.apply_snapshot({rev, {}});
     plan.set_desk_connected(true);
-    const auto tell = [&](Update word) {
-        word.prev = rev;
-        word.rev = ++rev;
-        plan.apply_update(word);
+    const auto apply = [&](Update update) {
+        update.prev = rev;
+        update.rev = ++rev;
+        plan.apply_update(update);
     };
     const std::size_t cells = plan.scheme().cell_count();
     const auto weight = [&](std::size_t cell) { return one_cell ? 1.0 : kTraffic[cell]; };
     for (std::size_t number = 0; number < releases.size(); ++number) {
-        const Drawn &drawn = releases[number];
+        const RandomRelease &release = releases[number];
         const BuildName build{"booking", static_cast<int>(number + 1)};
         for (std::size_t i = 0; !one_cell && i < kTraffic.size(); ++i) {
             Update row;
             row.kind = Update::Kind::ledger;
             row.customer = "c" + std::to_string(i);
-            row.traffic = kTraffic[i] * std::max(1.0, result.all), row.withdrawn = result.withdrawn[i];
-            tell(row);
+            row.traffic = kTraffic[i] * std::max(1.0, result.total_rpcs);
+            row.withdrawn = result.withdrawn[i];
+            apply(row);
         }
         Update offer;
         offer.build = build;
-        tell(offer);
+        apply(offer);
         plan.set_verdict(build.number, Verdict::advance);
-        std::vector<double> picks(cells, 0), seen(cells, 0);
-        double all = 0;
+        std::vector<double> picks(cells, 0);
+        std::vector<double> unrecorded(cells, 0);
+        double total_rpcs = 0;
         const Ticks began = now;
-        bool over = false;
-        while (!over && now - began < 3600 * kSecond) {
+        bool finished = false;
+        while (!finished && now - began < 3600 * kSecond) {
             now += kSecond;
             plan.set_time(now);
-            while (const auto said = plan.next_opinion()) {
-                if (said->cell < 0 || said->verdict != Verdict::advance) continue;
-                Update word;
-                word.kind = Update::Kind::stage;
-                word.build = build;
-                word.zone = "z";
-                word.customer = plan.scheme().customers[said->cell].name;
-                word.stage = said->stage + 1;
-                tell(word);
+            while (const auto opinion = plan.next_opinion()) {
+                if (opinion->cell < 0 || opinion->verdict != Verdict::advance) continue;
+                Update update;
+                update.kind = Update::Kind::stage;
+                update.build = build;
+                update.zone = "z";
+                update.customer = plan.scheme().customers[opinion->cell].name;
+                update.stage = opinion->stage + 1;
+                apply(update);
             }
             plan.take_share_changes();
             plan.take_log_events();
-            over = true;
+            finished = true;
             for (std::size_t cell = 0; cell < cells; ++cell) {
-                const double more = plan.share(build, static_cast<int>(cell)) * weight(cell) * kRate;
-                picks[cell] += more;
-                all += more;
+                const double cell_picks = plan.share(build, static_cast<int>(cell)) * weight(cell) * kRate;
+                picks[cell] += cell_picks;
+                total_rpcs += cell_picks;
                 plan.record_arrival(static_cast<int>(cell));
-                for (seen[cell] += more; seen[cell] >= 1; seen[cell] -= 1)
+                for (unrecorded[cell] += cell_picks; unrecorded[cell] >= 1; unrecorded[cell] -= 1)
                     plan.record_pick(build.number, static_cast<int>(cell));
-                over = over && !drawn.bad &&
-                       plan.stage(build, static_cast<int>(cell)) == 3; // a bad one is found in the end
+                // Only a good build finishes by reaching the last stage; a bad build is withdrawn in the end.
+                finished = finished && !release.bad && plan.stage(build, static_cast<int>(cell)) == 3;
             }
-            result.all += kRate;
-            if (drawn.bad && all >= drawn.detected_at) {
+            result.total_rpcs += kRate;
+            if (release.bad && total_rpcs >= release.detected_at) {
                 Update pull;
                 pull.kind = Update::Kind::pull;
                 pull.build = build;
-                tell(pull);
+                apply(pull);
                 ++result.bad;
-                for (std::size_t i = 0; i < kTraffic.size(); ++i) result.touched += one_cell || picks[i] >= 1;
+                for (std::size_t i = 0; i < kTraffic.size(); ++i)
+                    result.exposed_customers += one_cell || picks[i] >= 1;
                 for (std::size_t i = 0; i < kTraffic.size(); ++i)
                     result.withdrawn[i] += one_cell ? picks[0] * kTraffic[i] : picks[i];
-                over = true;
+                finished = true;
             }
         }
-        if (!drawn.bad) result.seconds.push_back(static_cast<double>(now - began) / kSecond);
+        if (!release.bad) result.seconds.push_back(static_cast<double>(now - began) / kSecond);
     }
     return result;
 }
 
 void print(const char *name, const Result &result) {
-    double all = 0, worst = 0, mean = 0;
-    for (const double one : result.withdrawn) all += one;
+    double withdrawn_rpcs = 0;
+    double worst = 0;
+    double mean = 0;
+    for (const double rpcs : result.withdrawn) withdrawn_rpcs += rpcs;
     std::cout << std::left << std::setw(14) << name << std::right;
     for (std::size_t i = 0; i < kTraffic.size(); ++i) {
-        const double share = all > 0 ? result.withdrawn[i] / all : 0, off = std::abs(share - kTraffic[i]);
-        worst = std::max(worst, off / kTraffic[i]);
-        mean += off / kTraffic.size();
+        const double share = withdrawn_rpcs > 0 ? result.withdrawn[i] / withdrawn_rpcs : 0;
+        const double deviation = std::abs(share - kTraffic[i]);
+        worst = std::max(worst, deviation / kTraffic[i]);
+        mean += deviation / kTraffic.size();
         std::cout << std::setw(8) << share;
     }
     std::vector<double> seconds = result.seconds;
     std::sort(seconds.begin(), seconds.end());
-    std::cout << std::setw(10) << static_cast<double>(result.touched) / std::max(1, result.bad)
-              << std::setw(10) << mean << std::setw(11) << worst << std::setw(13) << static_cast<long>(all)
-              << std::setw(10) << (seconds.empty() ? 0 : seconds[seconds.size() / 2]) << "\n";
+    std::cout << std::setw(10) << static_cast<double>(result.exposed_customers) / std::max(1, result.bad)
+              << std::setw(10) << mean << std::setw(11) << worst << std::setw(13)
+              << static_cast<long>(withdrawn_rpcs) << std::setw(10)
+              << (seconds.empty() ? 0 : seconds[seconds.size() / 2]) << "\n";
 }
 
 } // namespace
 
 int main(int argc, char **argv) {
     const int count = argc > 1 ? std::atoi(argv[1]) : 4000;
-    std::mt19937_64 chance(argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1);
-    std::vector<Drawn> releases;
+    std::mt19937_64 random(argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1);
+    std::vector<RandomRelease> releases;
     std::uniform_real_distribution<double> unit;
     for (int i = 0; i < count; ++i)
         releases.push_back(
-            {unit(chance) < 0.2, 20 * std::pow(250, unit(chance))}); // found after 20 to 5,000 picks
+            {unit(random) < 0.2, 20 * std::pow(250, unit(random))}); // detected after 20 to 5,000 picks
     std::cout << std::fixed << std::setprecision(3) << count << " releases, a fifth of them bad; traffic";
     for (const double share : kTraffic) std::cout << " " << share;
-    std::cout << "\nshare of RPCs at builds withdrawn, by customer; customers touched by a bad build; mean "
-                 "and worst distance (worst: of its traffic); RPCs; "
+    std::cout << "\nshare of the RPCs at withdrawn builds, by customer; mean number of customers with RPCs "
+                 "at a bad build; "
+                 "mean deviation from the share of traffic; worst deviation, relative to that share; RPCs at "
+                 "withdrawn builds; "
                  "median s to release\n";
     print("balanced", run(WaveOrder::balanced, false, releases));
-    print("first come", run(WaveOrder::customers, false, releases));
+    print("by customer", run(WaveOrder::customers, false, releases));
     print("one cell", run(WaveOrder::zones, true, releases));
 }
--- a/bench/release_replay.cpp
+++ b/bench/release_replay.cpp
@@ -1,6 +1,6 @@
-// Records one day of inputs on the simulator's wire: a small closed loop of hosts, builds and clients round
-// the module as it stands. Fed to any build of pineridge_simhost the lines show whether it decides the same,
-// to the byte:
+// Records a sequence of inputs in the simulator's wire format. The decision module runs in a small closed
+// loop with simulated hosts, builds and clients. Replaying the recorded lines through two builds of
+// pineridge_simhost shows whether their decisions are identical to the byte:
 //
 //   build/tests/bench_release_replay > events.jsonl
 //   ONE/pineridge_simhost < events.jsonl > one; OTHER/pineridge_simhost < events.jsonl > other; cmp one other
@@ -16,9 +16,11 @@
 
 namespace {
 
-json method(const char *repeat, const char *group) {
-    return {{"name", repeat}, {"repeat", repeat}, {"group", group}, {"aim", 0.4},
-            {"window", 1},    {"worth", 1},       {"stream", false}};
+json method(const char *repeat_policy, const char *token_scope) {
+    return {{"name", repeat_policy}, {"repeat", repeat_policy},
+            {"group", token_scope},  {"aim", 0.4},
+            {"window", 1},           {"worth", 1},
+            {"stream", false}};
 }
 
 json profile(int instances) {
@@ -55,21 +57,24 @@
 
 struct Event {
     double at;
-    int order;
-    json what;
-    bool operator>(const Event &other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+    int sequence;
+    json body;
+    bool operator>(const Event &other) const {
+        return std::tie(at, sequence) > std::tie(other.at, other.sequence);
+    }
 };
 
-struct World {
+struct Simulation {
     simhost::Reader reader;
-    Pcg32 chance{20261201};
-    std::priority_queue<Event, std::vector<Event>, std::greater<>> due;
-    int orders = 0, frame = 0;
-    std::map<std::string, int> legs;
-    std::map<std::string, int> builds;
+    Pcg32 random{20261201};
+    std::priority_queue<Event, std::vector<Event>, std::greater<>> queue;
+    int next_sequence = 0;
+    int frame = 0;
+    std::map<std::string, int> next_leg; // by RPC
+    std::map<std::string, int> builds; // by host
 
-    void at(double when, json what) { due.push({when, orders++, std::move(what)}); }
-    json news(int build, int stage, int phase, double cap) {
+    void schedule(double when, json body) { queue.push({when, next_sequence++, std::move(body)}); }
+    json step_news(int build, int stage, int phase, double cap) {
         return {{"cmd", "STEP_NEWS"}, {"who", "r"},     {"verdict", "pass"}, {"reason", 0},
                 {"image", build},     {"stage", stage}, {"whereAt", phase},  {"ceiling", cap}};
     }
@@ -90,61 +95,65 @@
     void react(const json &action, double now) {
         const std::string cmd = action["cmd"];
         if (cmd == "TIMER")
-            at(std::max(now, action["instant"].get<double>()), {{"cmd", "DEADLINE_HIT"}, {"who", "r"}});
+            schedule(std::max(now, action["instant"].get<double>()), {{"cmd", "DEADLINE_HIT"}, {"who", "r"}});
         if (cmd != "ATTEMPT") return;
         const std::string tid = action["tid"], host = action["host"];
-        const int leg = legs[tid]++;
-        const bool bad = builds[host] == 3 && chance.uniform() < 0.4;
-        const double takes = 0.005 + 0.05 * chance.uniform() * chance.uniform();
+        const int leg = next_leg[tid]++;
+        const bool bad = builds[host] == 3 && random.uniform() < 0.4;
+        const double latency = 0.005 + 0.05 * random.uniform() * random.uniform();
         const char *verdict = bad                        ? "fault"
-                              : chance.uniform() < 0.01  ? "no_room"
-                              : chance.uniform() < 0.005 ? "cut"
+                              : random.uniform() < 0.01  ? "no_room"
+                              : random.uniform() < 0.005 ? "cut"
                                                          : "pass";
-        const bool late = takes > action["patience"].get<double>();
-        at(now + takes, {{"cmd", "REPORT_BACK"},
-                         {"who", "r"},
-                         {"tid", tid},
-                         {"leg", leg},
-                         {"verdict", late ? "too_slow" : verdict},
-                         {"latency", takes},
-                         {"complete", verdict == std::string("pass")},
-                         {"gauge", {double(chance.draw() % 9)}}});
+        const bool late = latency > action["patience"].get<double>();
+        schedule(now + latency, {{"cmd", "REPORT_BACK"},
+                                 {"who", "r"},
+                                 {"tid", tid},
+                                 {"leg", leg},
+                                 {"verdict", late ? "too_slow" : verdict},
+                                 {"latency", latency},
+                                 {"complete", verdict == std::string("pass")},
+                                 {"gauge", {double(random.draw() % 9)}}});
     }
 
-    void play(double seconds) {
+    void run(double seconds) {
         for (int i = 0; i < 10; ++i) builds["h" + std::to_string(i)] = i < 7 ? 1 : 2;
-        at(0, pool());
-        at(0, {{"cmd", "SPAWN"}, {"who", "r"}, {"rngSeed", 11}, {"profileData", profile(3)}});
-        at(0, {{"cmd", "ENDPOINTS"}, {"who", "r"}, {"kind", 1}, {"sheet", 0}});
-        at(0.1, news(1, 2, 2, 1));
-        at(2, news(2, 0, 0, 0.2));
-        at(8, news(2, 1, 0, 0.6));
-        at(14, news(2, 2, 0, 1));
-        at(18, news(2, 2, 2, 1));
-        at(22, news(3, 0, 0, 0.2));
-        at(30, news(3, 0, 1, 0));
-        at(32, news(3, 0, 3, 0));
-        double next = 0.2;
-        for (int i = 0; next < seconds; ++i, next += 0.02 * chance.uniform())
-            at(next, {{"cmd", "ARRIVAL"},
+        schedule(0, pool());
+        schedule(0, {{"cmd", "SPAWN"}, {"who", "r"}, {"rngSeed", 11}, {"profileData", profile(3)}});
+        schedule(0, {{"cmd", "ENDPOINTS"}, {"who", "r"}, {"kind", 1}, {"sheet", 0}});
+        schedule(0.1, step_news(1, 2, 2, 1));
+        schedule(2, step_news(2, 0, 0, 0.2));
+        schedule(8, step_news(2, 1, 0, 0.6));
+        schedule(14, step_news(2, 2, 0, 1));
+        schedule(18, step_news(2, 2, 2, 1));
+        schedule(22, step_news(3, 0, 0, 0.2));
+        schedule(30, step_news(3, 0, 1, 0));
+        schedule(32, step_news(3, 0, 3, 0));
+        double next_arrival = 0.2;
+        for (int i = 0; next_arrival < seconds; ++i, next_arrival += 0.02 * random.uniform())
+            schedule(next_arrival,
+                     {{"cmd", "ARRIVAL"},
                       {"who", "r"},
                       {"tid", "t" + std::to_string(i)},
-                      {"service", chance.draw() % 3},
-                      {"org", chance.draw() % 2},
-                      {"entity", chance.draw() % 3 ? "" : "k" + std::to_string(chance.draw() % 40)},
-                      {"deadline", next + 0.6},
-                      {"retry", chance.draw() % 20 == 0}});
-        while (!due.empty() && due.top().at < seconds + 2) {
-            const Event event = due.top();
-            due.pop();
-            json batch{{"frame", ++frame}, {"clock", event.at}, {"events", {event.what}}};
-            if (event.what["cmd"] == "POOL") batch["events"].push_back(due.top().what), due.pop();
-            if (event.what["cmd"] == "STEP_NEWS" && event.what["image"] == 3 && event.what["whereAt"] == 0) {
+                      {"service", random.draw() % 3},
+                      {"org", random.draw() % 2},
+                      {"entity", random.draw() % 3 ? "" : "k" + std::to_string(random.draw() % 40)},
+                      {"deadline", next_arrival + 0.6},
+                      {"retry", random.draw() % 20 == 0}});
+        while (!queue.empty() && queue.top().at < seconds + 2) {
+            const Event event = queue.top();
+            queue.pop();
+            json batch{{"frame", ++frame}, {"clock", event.at}, {"events", {event.body}}};
+            if (event.body["cmd"] == "POOL") {
+                batch["events"].push_back(queue.top().body);
+                queue.pop();
+            }
+            if (event.body["cmd"] == "STEP_NEWS" && event.body["image"] == 3 && event.body["whereAt"] == 0) {
                 for (auto &[id, build] : builds)
                     if (build == 1) build = 3;
-                json all = pool();
+                json pool_event = pool();
                 batch["events"] = {
-                    all, {{"cmd", "ENDPOINTS"}, {"who", "r"}, {"kind", 1}, {"sheet", 0}}, event.what};
+                    pool_event, {{"cmd", "ENDPOINTS"}, {"who", "r"}, {"kind", 1}, {"sheet", 0}}, event.body};
             }
             const std::string line = batch.dump();
             std::cout << line << "\n";
@@ -157,6 +166,6 @@
 } // namespace
 
 int main() {
-    World world;
-    world.play(40);
+    Simulation simulation;
+    simulation.run(40);
 }
