--- a/bench/admission_flood.cpp
+++ b/bench/admission_flood.cpp
@@ -62,6 +62,7 @@
     std::optional<Program> router;
 };
 
+// Prints the RPCs served in time without a flood and under each flood, then runs a mass reconnect.
 void run_scenario(const std::string &program, bool with_rules, int seconds) {
     const std::pair<const char *, Flood::Plan> floods[] = {
         {"1 address opens connections", {Manner::asks, 0x7f070001, 1, 60, 2000}},
@@ -74,8 +75,9 @@
     scenario.town.flow("acme", 1500);
     run_for(scenario.io, std::chrono::milliseconds(1000));
     const auto without_flood = scenario.count_served_in_time(seconds * 1000);
-    std::cout << (with_rules ? "with rules" : "without") << ": no flood: " << without_flood.first << " of "
-              << without_flood.second << " served in time\n";
+    std::cout << (with_rules ? "with rules" : "without")
+              << ": served in time without a flood: " << without_flood.first << " of " << without_flood.second
+              << "\n";
     for (const auto &[name, plan] : floods) {
         Flood flood(scenario.io, scenario.town.listen, plan);
         flood.begin();
--- a/bench/admission_stall.cpp
+++ b/bench/admission_stall.cpp
@@ -23,6 +23,8 @@
 constexpr std::int64_t kRecoveryMs = 8000; // after the stall
 constexpr std::int64_t kInTimeMs = 500;
 
+// Runs one router, stops it for `stall_ms` while clients send `rate` RPCs per second, and prints its
+// recovery.
 void run_stall(const std::string &program, int rate, int sockets, int stall_ms) {
     asio::io_context io;
     Plot plot;
--- a/bench/membership_scale.cpp
+++ b/bench/membership_scale.cpp
@@ -37,6 +37,8 @@
     while (!condition()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
 }
 
+// Changes `changes` hosts per second, each fiftieth change a drain, and prints how long the drains take to
+// reach the sources of all routers.
 void measure_drains(int hosts, int routers, int changes, int seconds) {
     standins::Registry registry;
     fill(registry, hosts);
@@ -87,6 +89,7 @@
     io.run_for(std::chrono::milliseconds(50));
 }
 
+// Measures a full read of the host list from etcd and by blocking queries, three times for each list size.
 void measure_resync() {
     for (const int hosts : {100, 1000, 10000}) {
         standins::Registry registry;
--- a/bench/release_back.cpp
+++ b/bench/release_back.cpp
@@ -3,6 +3,8 @@
 // the first opinion to roll it back. The platform does not withdraw the build: only the release plan does.
 //
 //   build/tests/bench_release_back [ROLLBACKS]
+//
+// If the environment variable TRACE is set, the picks and the router's log of each rollback go to stderr.
 #include "router/service.hpp"
 #include "standins/town/town.hpp"
 
--- a/bench/release_cost.cpp
+++ b/bench/release_cost.cpp
@@ -20,8 +20,9 @@
 
 double cpu_us() { return static_cast<double>(std::clock()) * 1e6 / CLOCKS_PER_SEC; }
 
-struct Load {
-    explicit Load(int cells)
+// A router with a number of cells, and the RPCs that are sent to it.
+struct RpcLoad {
+    explicit RpcLoad(int cells)
         : cells_(cells), fixture_([&] {
               DeploymentConfig config = test::deployment_config(RepeatPolicy::idempotent);
               config.default_cell_share = cells > 0 ? 0 : 1;
@@ -118,8 +119,8 @@
 int main(int argc, char **argv) {
     const int rounds = argc > 1 ? std::atoi(argv[1]) : 15;
     const std::vector<int> cell_counts{0, 1, 1000, 100000};
-    std::vector<std::unique_ptr<Load>> loads;
-    for (const int size : cell_counts) loads.push_back(std::make_unique<Load>(size));
+    std::vector<std::unique_ptr<RpcLoad>> loads;
+    for (const int size : cell_counts) loads.push_back(std::make_unique<RpcLoad>(size));
     std::vector<std::vector<double>> ratios(cell_counts.size());
     std::vector<std::vector<double>> times_us(cell_counts.size());
     for (auto &load : loads) load->run(30000);
--- a/bench/release_fairness.cpp
+++ b/bench/release_fairness.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-const std::vector<double> kTraffic{0.40, 0.25, 0.20, 0.10, 0.05}; // share of each customer
-constexpr double kRate = 200; // RPCs per second, over all customers
-constexpr Ticks kSecond = 10000;
+const std::vector<double> kTrafficShares{0.40, 0.25, 0.20, 0.10, 0.05}; // share of each customer
+constexpr double kRpcsPerSecond = 200; // RPCs per second, over all customers
+constexpr Ticks kSecond = 10000; // ticks
 
 struct RandomRelease {
     bool bad;
@@ -43,8 +43,8 @@
     if (one_cell)
         settings.customers = {{"all"}};
     else
-        for (std::size_t i = 0; i < kTraffic.size(); ++i)
-            settings.customers.push_back({"c" + std::to_string(i), 1, kTraffic[i]});
+        for (std::size_t i = 0; i < kTrafficShares.size(); ++i)
+            settings.customers.push_back({"c" + std::to_string(i), 1, kTrafficShares[i]});
     settings.stages = {0, 0.05, 0.25, 1};
     settings.order = order;
     settings.wave_gate_stage = 2;
@@ -55,8 +55,8 @@
 
 Result run(WaveOrder order, bool one_cell, const std::vector<RandomRelease> &releases) {
     Result result;
-    result.withdrawn.assign(kTraffic.size(), 0);
-    std::vector<double> carried(kTraffic.size(), 0);
+    result.withdrawn.assign(kTrafficShares.size(), 0);
+    std::vector<double> carried(kTrafficShares.size(), 0);
     Ticks now = kSecond;
     std::int64_t rev = 0;
     Plan plan(settings_for(order, one_cell));
@@ -69,15 +69,15 @@
         plan.apply_update(update);
     };
     const std::size_t cells = plan.scheme().cell_count();
-    const auto weight = [&](std::size_t cell) { return one_cell ? 1.0 : kTraffic[cell]; };
+    const auto weight = [&](std::size_t cell) { return one_cell ? 1.0 : kTrafficShares[cell]; };
     for (std::size_t number = 0; number < releases.size(); ++number) {
         const RandomRelease &release = releases[number];
         const BuildName build{"booking", static_cast<int>(number + 1)};
-        for (std::size_t i = 0; !one_cell && i < kTraffic.size(); ++i) {
+        for (std::size_t i = 0; !one_cell && i < kTrafficShares.size(); ++i) {
             Update row;
             row.kind = Update::Kind::ledger;
             row.customer = "c" + std::to_string(i);
-            row.traffic = kTraffic[i] * std::max(1.0, result.total_rpcs);
+            row.traffic = kTrafficShares[i] * std::max(1.0, result.total_rpcs);
             row.withdrawn = result.withdrawn[i];
             apply(row);
         }
@@ -107,7 +107,8 @@
             plan.take_log_events();
             finished = true;
             for (std::size_t cell = 0; cell < cells; ++cell) {
-                const double cell_picks = plan.share(build, static_cast<int>(cell)) * weight(cell) * kRate;
+                const double cell_picks =
+                    plan.share(build, static_cast<int>(cell)) * weight(cell) * kRpcsPerSecond;
                 picks[cell] += cell_picks;
                 total_rpcs += cell_picks;
                 plan.record_arrival(static_cast<int>(cell));
@@ -116,17 +117,17 @@
                 // Only a good build finishes by reaching the last stage; a bad build is withdrawn in the end.
                 finished = finished && !release.bad && plan.stage(build, static_cast<int>(cell)) == 3;
             }
-            result.total_rpcs += kRate;
+            result.total_rpcs += kRpcsPerSecond;
             if (release.bad && total_rpcs >= release.detected_at) {
                 Update pull;
                 pull.kind = Update::Kind::pull;
                 pull.build = build;
                 apply(pull);
                 ++result.bad;
-                for (std::size_t i = 0; i < kTraffic.size(); ++i)
+                for (std::size_t i = 0; i < kTrafficShares.size(); ++i)
                     result.exposed_customers += one_cell || picks[i] >= 1;
-                for (std::size_t i = 0; i < kTraffic.size(); ++i)
-                    result.withdrawn[i] += one_cell ? picks[0] * kTraffic[i] : picks[i];
+                for (std::size_t i = 0; i < kTrafficShares.size(); ++i)
+                    result.withdrawn[i] += one_cell ? picks[0] * kTrafficShares[i] : picks[i];
                 finished = true;
             }
         }
@@ -141,11 +142,11 @@
     double mean = 0;
     for (const double rpcs : result.withdrawn) withdrawn_rpcs += rpcs;
     std::cout << std::left << std::setw(14) << name << std::right;
-    for (std::size_t i = 0; i < kTraffic.size(); ++i) {
+    for (std::size_t i = 0; i < kTrafficShares.size(); ++i) {
         const double share = withdrawn_rpcs > 0 ? result.withdrawn[i] / withdrawn_rpcs : 0;
-        const double deviation = std::abs(share - kTraffic[i]);
-        worst = std::max(worst, deviation / kTraffic[i]);
-        mean += deviation / kTraffic.size();
+        const double deviation = std::abs(share - kTrafficShares[i]);
+        worst = std::max(worst, deviation / kTrafficShares[i]);
+        mean += deviation / kTrafficShares.size();
         std::cout << std::setw(8) << share;
     }
     std::vector<double> seconds = result.seconds;
@@ -167,7 +168,7 @@
         releases.push_back(
             {unit(random) < 0.2, 20 * std::pow(250, unit(random))}); // detected after 20 to 5,000 picks
     std::cout << std::fixed << std::setprecision(3) << count << " releases, a fifth of them bad; traffic";
-    for (const double share : kTraffic) std::cout << " " << share;
+    for (const double share : kTrafficShares) std::cout << " " << share;
     std::cout << "\nshare of the RPCs at withdrawn builds, by customer; mean number of customers with RPCs "
                  "at a bad build; "
                  "mean deviation from the share of traffic; worst deviation, relative to that share; RPCs at "
