--- a/bench/admission_flood.cpp
+++ b/bench/admission_flood.cpp
@@ -26,53 +26,53 @@
 struct FloodScenario {
     FloodScenario(const std::string &program, bool with_rules) : town(io, plot()) {
         for (int i = 0; i < 16; ++i) town.host("h" + std::to_string(i), "north", 1);
-        for (Host &host : town.hosts) host.takes = std::chrono::milliseconds(5);
+        for (Host &host : town.hosts) host.answer_delay = std::chrono::milliseconds(5);
         town.write_files();
-        town.clients.lose_patience(2);
+        town.clients.use_client_timeouts(2);
         std::vector<std::string> arguments{"serve", "--config", (town.folder / "config.json").string()};
         if (with_rules) {
             std::ofstream(town.folder / "settings.xml") << kRules;
             arguments.insert(arguments.end(), {"--settings", (town.folder / "settings.xml").string()});
         }
         router.emplace(town.folder, program, arguments);
-        while (router->said().find("serving") == std::string::npos)
+        while (router->output().find("serving") == std::string::npos)
             run_for(io, std::chrono::milliseconds(20));
     }
-    static Plot plot() {
-        Plot plot;
+    static ClusterOptions plot() {
+        ClusterOptions plot;
         plot.sockets = 1024;
         return plot;
     }
     // Returns how many RPCs of the crowd's clients were served within 0.5 s, and how many were sent, during
     // the next `ms` milliseconds.
     std::pair<int, int> count_served_in_time(std::int64_t ms) {
-        const std::size_t first = town.clients.asked().size();
+        const std::size_t first = town.clients.rpcs().size();
         run_for(io, std::chrono::milliseconds(ms));
-        const std::size_t end = town.clients.asked().size();
+        const std::size_t end = town.clients.rpcs().size();
         run_for(io, std::chrono::milliseconds(1100));
         int served = 0;
         for (std::size_t i = first; i < end; ++i) {
-            const auto &row = town.clients.asked()[i];
-            served += row.answer == "served" && row.took <= 500;
+            const auto &row = town.clients.rpcs()[i];
+            served += row.answer == "served" && row.latency_ms <= 500;
         }
         return {served, static_cast<int>(end - first)};
     }
     asio::io_context io;
-    Town town;
+    LocalCluster town;
     std::optional<Program> router;
 };
 
 // Prints the RPCs served in time without a flood and under each flood, then runs a mass reconnect.
 void run_scenario(const std::string &program, bool with_rules, int seconds) {
     const std::pair<const char *, Flood::Plan> floods[] = {
-        {"1 address opens connections", {Manner::asks, 0x7f070001, 1, 60, 2000}},
-        {"1,000 addresses open connections", {Manner::asks, 0x7f070001, 1000, 60, 2000}},
+        {"1 address opens connections", {Behavior::send_one_rpc, 0x7f070001, 1, 60, 2000}},
+        {"1,000 addresses open connections", {Behavior::send_one_rpc, 0x7f070001, 1000, 60, 2000}},
         {"300 connections send slowly",
-         {Manner::drips, 0x7f070001, 100, 4, 300, "", std::chrono::milliseconds(1000)}},
-        {"50 connections never read", {Manner::never_reads, 0x7f070001, 50, 4, 50}},
+         {Behavior::send_slowly, 0x7f070001, 100, 4, 300, "", std::chrono::milliseconds(1000)}},
+        {"50 connections never read", {Behavior::never_read, 0x7f070001, 50, 4, 50}},
     };
     FloodScenario scenario(program, with_rules);
-    scenario.town.flow("acme", 1500);
+    scenario.town.send_steadily("acme", 1500);
     run_for(scenario.io, std::chrono::milliseconds(1000));
     const auto without_flood = scenario.count_served_in_time(seconds * 1000);
     std::cout << (with_rules ? "with rules" : "without")
@@ -80,38 +80,39 @@
               << "\n";
     for (const auto &[name, plan] : floods) {
         Flood flood(scenario.io, scenario.town.listen, plan);
-        flood.begin();
+        flood.start();
         run_for(scenario.io, std::chrono::milliseconds(300));
         const double cpu_before_s = scenario.router->cpu_s();
-        const auto opened_before = flood.seen().opened;
+        const auto opened_before = flood.results().opened;
         const auto served = scenario.count_served_in_time(seconds * 1000);
         const double cpu_used_s = scenario.router->cpu_s() - cpu_before_s;
         std::cout << "  " << name << ": " << served.first << " of " << served.second << " ("
                   << 100.0 * served.first / std::max(1, served.second) << "%), opened "
-                  << flood.seen().opened - opened_before << ", pushed back " << flood.seen().pushed_back
+                  << flood.results().opened - opened_before << ", pushed back " << flood.results().pushed_back
                   << ", router " << cpu_used_s << " s CPU, " << scenario.router->memory_kb() / 1024
                   << " MiB\n";
         flood.stop();
         run_for(scenario.io, std::chrono::milliseconds(1500));
     }
     // Mass reconnect: 250 clients of the crowd connect at once while the flood keeps opening connections.
-    Flood flood(scenario.io, scenario.town.listen, {Manner::asks, 0x7f070001, 1000, 60, 2000});
-    flood.begin();
+    Flood flood(scenario.io, scenario.town.listen, {Behavior::send_one_rpc, 0x7f070001, 1000, 60, 2000});
+    flood.start();
     run_for(scenario.io, std::chrono::milliseconds(500));
     scenario.town.stop();
     run_for(scenario.io, std::chrono::milliseconds(1100));
-    const std::size_t first = scenario.town.clients.asked().size();
-    const auto began = Town::now();
-    for (int i = 0; i < 250; ++i) scenario.town.clients.ask("bern", "lookup", "k" + std::to_string(i), 10000);
-    while (scenario.town.clients.open() > 0 && Town::now() < began + 10500)
+    const std::size_t first = scenario.town.clients.rpcs().size();
+    const auto began = LocalCluster::now();
+    for (int i = 0; i < 250; ++i)
+        scenario.town.clients.send_rpc("bern", "lookup", "k" + std::to_string(i), 10000);
+    while (scenario.town.clients.open_rpcs() > 0 && LocalCluster::now() < began + 10500)
         run_for(scenario.io, std::chrono::milliseconds(5));
     std::int64_t last_served_ms = 0;
     int served = 0;
-    for (std::size_t i = first; i < scenario.town.clients.asked().size(); ++i) {
-        const auto &row = scenario.town.clients.asked()[i];
+    for (std::size_t i = first; i < scenario.town.clients.rpcs().size(); ++i) {
+        const auto &row = scenario.town.clients.rpcs()[i];
         if (row.answer != "served") continue;
         ++served;
-        last_served_ms = std::max(last_served_ms, row.at + row.took - began);
+        last_served_ms = std::max(last_served_ms, row.at + row.latency_ms - began);
     }
     std::cout << "  250 crowd clients reconnect while 1,000 addresses open connections: " << served
               << " served, the last after " << last_served_ms << " ms" << std::endl;
@@ -122,7 +123,7 @@
 
 int main(int argc, char **argv) {
     if (argc < 2) return 2;
-    allow_descriptors(60000);
+    limit_descriptors(60000);
     const int seconds = argc > 2 ? std::atoi(argv[2]) : 3;
     for (const bool with_rules : {false, true}) run_scenario(argv[1], with_rules, seconds);
 }
--- a/bench/admission_stall.cpp
+++ b/bench/admission_stall.cpp
@@ -27,16 +27,16 @@
 // recovery.
 void run_stall(const std::string &program, int rate, int sockets, int stall_ms) {
     asio::io_context io;
-    Plot plot;
+    ClusterOptions plot;
     plot.sockets = sockets;
-    Town town(io, plot);
+    LocalCluster town(io, plot);
     for (int i = 0; i < 16; ++i) town.host("h" + std::to_string(i), "north", 1);
-    for (Host &host : town.hosts) host.takes = std::chrono::milliseconds(5);
+    for (Host &host : town.hosts) host.answer_delay = std::chrono::milliseconds(5);
     town.write_files();
-    town.clients.lose_patience(2);
+    town.clients.use_client_timeouts(2);
     Program router(town.folder, program, {"serve", "--config", (town.folder / "config.json").string()});
-    while (router.said().find("serving") == std::string::npos) run_for(io, std::chrono::milliseconds(20));
-    for (const std::string &customer : plot.customers) town.flow(customer, rate / 3.0);
+    while (router.output().find("serving") == std::string::npos) run_for(io, std::chrono::milliseconds(20));
+    for (const std::string &customer : plot.customers) town.send_steadily(customer, rate / 3.0);
     run_for(io, std::chrono::milliseconds(kBaselineMs / 2)); // the clients connect
     const double baseline_cpu_began_s = router.cpu_s();
     run_for(io, std::chrono::milliseconds(kBaselineMs));
@@ -44,7 +44,7 @@
     router.signal(SIGSTOP);
     run_for(io, std::chrono::milliseconds(stall_ms));
     router.signal(SIGCONT);
-    const std::int64_t resumed_at_ms = Town::now();
+    const std::int64_t resumed_at_ms = LocalCluster::now();
     const double recovery_cpu_began_s = router.cpu_s();
     run_for(io, std::chrono::milliseconds(kRecoveryMs));
     const double recovery_cpu_s = router.cpu_s() - recovery_cpu_began_s;
@@ -55,8 +55,8 @@
     std::map<std::string, int> answers;
     int baseline_sent = 0;
     int baseline_in_time = 0;
-    for (const Asked &row : town.clients.asked()) {
-        const bool in_time = row.answer == "served" && row.took <= kInTimeMs;
+    for (const RpcRecord &row : town.clients.rpcs()) {
+        const bool in_time = row.answer == "served" && row.latency_ms <= kInTimeMs;
         if (row.at < resumed_at_ms - stall_ms - 1000) {
             ++baseline_sent;
             baseline_in_time += in_time;
@@ -93,7 +93,7 @@
 
 int main(int argc, char **argv) {
     if (argc < 2) return 2;
-    allow_descriptors(60000);
+    limit_descriptors(60000);
     const int rate = argc > 2 ? std::atoi(argv[2]) : 8500;
     const int sockets = argc > 3 ? std::atoi(argv[3]) : 1024;
     std::vector<int> stalls_ms;
--- a/bench/membership_drain.cpp
+++ b/bench/membership_drain.cpp
@@ -28,7 +28,7 @@
     };
     measure("no faults", no_action, no_action);
     measure(
-        "watch cancelled just before the drain", [&] { world.registry.drop(); }, no_action);
+        "watch cancelled just before the drain", [&] { world.registry.cancel_streams(); }, no_action);
     measure(
-        "watch event lost (audit every 0.4 s)", [&] { world.registry.pass_over(1); }, no_action);
+        "watch event lost (audit every 0.4 s)", [&] { world.registry.skip_events(1); }, no_action);
 }
--- a/bench/membership_memory.cpp
+++ b/bench/membership_memory.cpp
@@ -16,12 +16,12 @@
 
 void measure(const char *name, const std::string &program, int hosts, bool use_registry, bool use_tls) {
     asio::io_context io;
-    Town town(io, Plot{});
+    LocalCluster town(io, ClusterOptions{});
     const Authority authority("theirs");
-    const Papers papers = authority.issue("127.0.0.1");
-    const Secure secure{papers.certificate, papers.key};
+    const CertifiedKey papers = authority.issue("127.0.0.1");
+    const ServerTls secure{papers.certificate, papers.key};
     Registry registry(use_tls ? &secure : nullptr);
-    std::vector<Word> records;
+    std::vector<KeyChange> records;
     for (int i = 0; i < hosts; ++i) {
         const std::string id = "h" + std::to_string(i);
         records.push_back({0, "/hosts/" + id,
--- a/bench/membership_scale.cpp
+++ b/bench/membership_scale.cpp
@@ -27,7 +27,7 @@
 }
 
 void fill(standins::Registry &registry, int hosts) {
-    std::vector<standins::Word> records;
+    std::vector<standins::KeyChange> records;
     for (int i = 0; i < hosts; ++i)
         records.push_back({0, "/hosts/h" + std::to_string(i), value_of(i), false});
     registry.write(records);
@@ -74,7 +74,7 @@
     const Log log(logged, "bench", Level::error);
     const Limits limits{};
     const auto began = Clock::now();
-    std::shared_ptr<standins::Blocking> server; // destroyed before the event loop
+    std::shared_ptr<standins::BlockingRegistry> server; // destroyed before the event loop
     Plot plot = make_plot(io, server);
     Source source(
         io, std::move(plot), read_value, limits, log, 7, [&] { return ticks_since(began); },
@@ -106,7 +106,7 @@
             });
         for (int round = 0; round < 3; ++round)
             measure_one_resync("blocking queries", hosts, [&](boost::asio::io_context &io, auto &server) {
-                server = std::make_shared<standins::Blocking>(io);
+                server = std::make_shared<standins::BlockingRegistry>(io);
                 for (int i = 0; i < hosts; ++i) server->put("hosts/h" + std::to_string(i), value_of(i));
                 Plot plot;
                 plot.endpoints = {read_address(server->address(), "endpoint")};
--- a/bench/release_back.cpp
+++ b/bench/release_back.cpp
@@ -18,10 +18,10 @@
 int main(int argc, char **argv) {
     const int rollbacks = argc > 1 ? std::atoi(argv[1]) : 200;
     asio::io_context io;
-    Plot plot;
+    ClusterOptions plot;
     plot.caps = {1, 1};
     plot.stages = "0.1 0.5 1";
-    Town town(io, plot);
+    LocalCluster town(io, plot);
     for (int i = 0; i < 3; ++i) town.host("old" + std::to_string(i), "north", 1);
     std::vector<Host *> trial;
     for (int i = 0; i < 3; ++i) trial.push_back(&town.host("new" + std::to_string(i), "north", 2, 60));
@@ -43,7 +43,7 @@
         return condition();
     };
     run_until([&] { return logged.str().find("desk.up") != std::string::npos; }, 10);
-    town.flow("acme", 400);
+    town.send_steadily("acme", 400);
     std::vector<double> delays_ms;
     int missing_verdicts = 0;
     for (int build = 2; static_cast<int>(delays_ms.size()) < rollbacks && missing_verdicts < 50; ++build) {
@@ -52,32 +52,32 @@
             host->build = build;
             host->started_ms = 0;
         }
-        town.discovery.changed();
-        town.desk.tell("offer booking/" + std::to_string(build));
-        town.desk.tell("stage booking/" + std::to_string(build) + " north acme 3");
+        town.discovery.notify_watches();
+        town.desk.execute("offer booking/" + std::to_string(build));
+        town.desk.execute("stage booking/" + std::to_string(build) + " north acme 3");
         town.platform.set(build, 1, "Progressing");
         const std::string vote = "vote back on build " + std::to_string(build);
         if (!run_until([&] { return logged.str().find(vote) != std::string::npos; }, 20)) {
             ++missing_verdicts;
             continue;
         }
-        const std::int64_t verdict_at = Town::now();
+        const std::int64_t verdict_at = LocalCluster::now();
         const auto is_pulled = [&] {
-            const auto &steps = town.desk.ledger().steps();
+            const auto &steps = town.desk.log().steps();
             return steps.back().word.at("type") == "pull";
         };
         run_until(is_pulled, 5);
         run_until([] { return false; }, 0.25);
         std::int64_t last_pick_at = verdict_at;
-        for (const PickRow &pick : town.picks)
+        for (const PickRecord &pick : town.picks)
             if (pick.build == build) last_pick_at = std::max(last_pick_at, pick.at);
         if (std::getenv("TRACE")) {
             int before = 0;
             int after = 0;
-            for (const PickRow &pick : town.picks)
+            for (const PickRecord &pick : town.picks)
                 (pick.at <= verdict_at ? before : after) += pick.build == build;
             std::cerr << build << ": " << before << " picks before, " << after << " after; pull "
-                      << town.desk.ledger().steps().back().at - verdict_at << " ms\n"
+                      << town.desk.log().steps().back().at - verdict_at << " ms\n"
                       << logged.str();
         }
         delays_ms.push_back(static_cast<double>(last_pick_at - verdict_at));
--- a/standins/blocking/blocking.cpp
+++ b/standins/blocking/blocking.cpp
@@ -16,7 +16,7 @@
     return text;
 }
 
-std::string word_of(const std::string &path, const std::string &name) {
+std::string query_parameter(const std::string &path, const std::string &name) {
     const std::size_t at = path.find(name + "=");
     if (at == std::string::npos) return "";
     const std::size_t from = at + name.size() + 1;
@@ -25,83 +25,88 @@
 
 } // namespace
 
-Blocking::Blocking(asio::io_context &io)
-    : io_(io), server_(io, [this](const Call &call, const auto &talk) { take(call, talk); }) {}
+BlockingRegistry::BlockingRegistry(asio::io_context &io)
+    : io_(io), server_(io, [this](const HttpRequest &request, const auto &connection) {
+          handle(request, connection);
+      }) {}
 
-std::int64_t Blocking::put(const std::string &key, const std::string &value) {
+std::int64_t BlockingRegistry::put(const std::string &key, const std::string &value) {
     Pair &pair = pairs_[key];
     pair.value = value;
     pair.modified = ++index_;
     if (pair.created == 0) pair.created = index_;
-    changed();
+    answer_waiting();
     return index_;
 }
 
-std::int64_t Blocking::remove(const std::string &key) {
+std::int64_t BlockingRegistry::remove(const std::string &key) {
     pairs_.erase(key);
     ++index_;
-    changed();
+    answer_waiting();
     return index_;
 }
 
-std::map<std::string, std::string> Blocking::held() const {
+std::map<std::string, std::string> BlockingRegistry::entries() const {
     std::map<std::string, std::string> all;
     for (const auto &[key, pair] : pairs_) all[key] = pair.value;
     return all;
 }
 
-void Blocking::stop() {
+void BlockingRegistry::stop() {
     waiting_.clear();
     server_.stop();
 }
-void Blocking::start() { server_.start(); }
+void BlockingRegistry::start() { server_.start(); }
 
-void Blocking::forget() {
+void BlockingRegistry::lose_data() {
     pairs_.clear();
     index_ = 1;
 }
 
-void Blocking::lag(bool on) {
+void BlockingRegistry::lag(bool on) {
     lagging_ = on;
-    seen_ = pairs_;
-    seen_index_ = index_;
+    lagging_pairs_ = pairs_;
+    lagging_index_ = index_;
 }
 
-void Blocking::changed() {
-    if (lagging_ || mute_) return;
+void BlockingRegistry::answer_waiting() {
+    if (lagging_ || muted_) return;
     for (const auto &[weak, prefix] : std::exchange(waiting_, {}))
-        if (const auto talk = weak.lock()) answer(prefix, talk);
+        if (const auto connection = weak.lock()) answer(prefix, connection);
 }
 
-void Blocking::take(const Call &call, const std::shared_ptr<Talk> &talk) {
+void BlockingRegistry::handle(const HttpRequest &request, const std::shared_ptr<HttpConnection> &connection) {
     ++queries_;
-    paths_.push_back(call.path);
+    paths_.push_back(request.path);
     if (paths_.size() > 100) paths_.pop_front();
-    if (mute_) return;
-    if (!spoilt_.empty()) return talk->send(std::exchange(spoilt_, {}));
-    const std::size_t end = call.path.find('?');
-    const std::string prefix = call.path.substr(7, end - 7);
-    const std::int64_t from = std::atoll(word_of(call.path, "index").c_str());
-    if (from <= 0 || from != (lagging_ ? seen_index_ : index_)) return answer(prefix, talk);
-    ++blocked_;
-    waiting_.emplace_back(talk, prefix);
-    asio::co_spawn(io_, hold(talk, prefix, std::atoll(word_of(call.path, "wait").c_str())), asio::detached);
+    if (muted_) return;
+    if (!next_answer_.empty()) return connection->send(std::exchange(next_answer_, {}));
+    const std::size_t end = request.path.find('?');
+    const std::string prefix = request.path.substr(7, end - 7);
+    const std::int64_t from = std::atoll(query_parameter(request.path, "index").c_str());
+    if (from <= 0 || from != (lagging_ ? lagging_index_ : index_)) return answer(prefix, connection);
+    ++blocked_queries_;
+    waiting_.emplace_back(connection, prefix);
+    asio::co_spawn(
+        io_, answer_after_wait(connection, prefix, std::atoll(query_parameter(request.path, "wait").c_str())),
+        asio::detached);
 }
 
-asio::awaitable<void> Blocking::hold(std::weak_ptr<Talk> weak, std::string prefix, std::int64_t wait_ms) {
-    const int mine = queries_;
+asio::awaitable<void> BlockingRegistry::answer_after_wait(std::weak_ptr<HttpConnection> weak,
+                                                          std::string prefix, std::int64_t wait_ms) {
+    const int queries_before = queries_;
     asio::steady_timer timer(io_);
     timer.expires_after(std::chrono::milliseconds(wait_ms));
     co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-    const auto talk = weak.lock();
-    if (!talk || mute_ || mine != queries_) co_return;
+    const auto connection = weak.lock();
+    if (!connection || muted_ || queries_before != queries_) co_return;
     const std::size_t before = waiting_.size();
-    waiting_.remove_if([&](const auto &one) { return one.first.lock() == talk; });
-    if (waiting_.size() < before) answer(prefix, talk);
+    waiting_.remove_if([&](const auto &one) { return one.first.lock() == connection; });
+    if (waiting_.size() < before) answer(prefix, connection);
 }
 
-void Blocking::answer(const std::string &prefix, const std::shared_ptr<Talk> &talk) {
-    const Pairs &pairs = lagging_ ? seen_ : pairs_;
+void BlockingRegistry::answer(const std::string &prefix, const std::shared_ptr<HttpConnection> &connection) {
+    const Pairs &pairs = lagging_ ? lagging_pairs_ : pairs_;
     nlohmann::json all = nlohmann::json::array();
     for (const auto &[key, pair] : pairs)
         if (key.rfind(prefix, 0) == 0)
@@ -111,22 +116,22 @@
                            {"Value", encoded(pair.value)},
                            {"CreateIndex", pair.created},
                            {"ModifyIndex", pair.modified}});
-    std::map<std::string, std::string> fields{
-        {"X-Consul-Index", std::to_string(lagging_ ? seen_index_ : index_)},
+    std::map<std::string, std::string> headers{
+        {"X-Consul-Index", std::to_string(lagging_ ? lagging_index_ : index_)},
         {"X-Consul-KnownLeader", "true"},
         {"X-Consul-LastContact", "0"}};
-    for (const auto &[name, value] : fields_) fields[name] = value;
+    for (const auto &[name, value] : headers_) headers[name] = value;
     const std::string body = all.empty() ? "" : all.dump();
     std::string bytes = std::string("HTTP/1.1 ") + (all.empty() ? "404 Not Found" : "200 OK") + "\r\n";
-    for (const auto &[name, value] : fields) bytes += name + ": " + value + "\r\n";
+    for (const auto &[name, value] : headers) bytes += name + ": " + value + "\r\n";
     bytes += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-    told_ += bytes.size();
-    if (torn_ > 0) {
-        talk->send(bytes.substr(0, std::exchange(torn_, 0)));
-        asio::post(io_, [this, talk] { asio::post(io_, [talk] { talk->close(); }); });
+    sent_bytes_ += bytes.size();
+    if (truncate_at_ > 0) {
+        connection->send(bytes.substr(0, std::exchange(truncate_at_, 0)));
+        asio::post(io_, [this, connection] { asio::post(io_, [connection] { connection->close(); }); });
         return;
     }
-    talk->send(std::move(bytes));
+    connection->send(std::move(bytes));
 }
 
 } // namespace pineridge::standins
--- a/standins/certificates/certificates.hpp
+++ b/standins/certificates/certificates.hpp
@@ -1,4 +1,5 @@
-// Authorities, certificates and keys for tests on loopback, as PEM texts, made anew at each run.
+// Certificate authorities, certificates and keys for tests on loopback, as PEM texts. Each run creates new
+// ones.
 #pragma once
 
 #include <memory>
@@ -6,7 +7,7 @@
 
 namespace pineridge::standins {
 
-struct Papers {
+struct CertifiedKey {
     std::string certificate, key;
 };
 
@@ -15,15 +16,16 @@
     explicit Authority(const std::string &name);
     ~Authority();
 
-    const std::string &certificate() const { return own_.certificate; }
-    // For an IP address or a host name; good for so many days from now, or no longer good where below 0.
-    Papers issue(const std::string &name, int days = 1) const;
+    const std::string &certificate() const { return own_key_pair_.certificate; }
+    // Issues a certificate for an IP address or a host name, valid for `days` from now. It has already
+    // expired where `days` is negative.
+    CertifiedKey issue(const std::string &name, int days = 1) const;
 
     struct State;
 
   private:
     std::unique_ptr<State> state_;
-    Papers own_;
+    CertifiedKey own_key_pair_;
 };
 
 } // namespace pineridge::standins
--- a/standins/checker/membership.hpp
+++ b/standins/checker/membership.hpp
@@ -1,5 +1,5 @@
-// Reads what a registry recorded of its words beside what hosts saw, and says where a drain or a deletion was
-// not kept, or where a view differs from the registry. It knows nothing of the router's own word.
+// Compares what a registry has sent with what the hosts received. It reports picks that ignored a drain or a
+// deletion, and differences between a view and the registry. It does not use the router's own logs or state.
 #pragma once
 
 #include "standins/host/host.hpp"
@@ -11,13 +11,14 @@
 
 namespace pineridge::standins {
 
-// One line for each pick that began more than the grace (ms) after its host was told to drain or be gone, and
-// before it was told ready again. `told` as the registry recorded it, in the order of time; keys end in a
-// host's id.
-std::vector<std::string> late_picks(const std::vector<Told> &told, const Picks &picks, std::int64_t grace);
+// Returns one line for each pick that reached a host more than `grace` (ms) after the registry had sent that
+// the host drains or is deleted, and before it sent that the host is ready again. `sent` is in the order of
+// time; each key ends in a host's id.
+std::vector<std::string> late_picks(const std::vector<SentEvent> &sent, const Picks &picks,
+                                    std::int64_t grace);
 
-// Keys that one holds and the other does not, or holds otherwise, but for those named (values that cannot be
-// read).
+// Returns one line for each key that only one side holds, or that both hold with different values. Keys in
+// `unreadable` are left out.
 std::vector<std::string> differences(const std::map<std::string, std::string> &registry,
                                      const std::map<std::string, std::string> &view,
                                      const std::vector<std::string> &unreadable = {});
--- a/standins/checker/release.hpp
+++ b/standins/checker/release.hpp
@@ -1,10 +1,10 @@
-// Reads what the desk recorded beside what hosts and clients saw, and says where the release rules were
-// broken. It knows nothing of the router's own word: only what was told, asked and sent, with times.
+// Compares the updates that the desk has recorded with the RPCs of the clients and the picks of the hosts,
+// and reports where the release rules were broken. It does not use the router's own logs or state.
 #pragma once
 
 #include "settings/release.hpp"
 #include "standins/clients/clients.hpp"
-#include "standins/desk/ledger.hpp"
+#include "standins/desk/update_log.hpp"
 #include "standins/host/host.hpp"
 
 #include <string>
@@ -12,17 +12,18 @@
 
 namespace pineridge::standins {
 
-struct Rule {
-    ReleaseSettings scheme;
-    std::int64_t window = 3000; // of the exposure rule, ms
-    std::int64_t grace = 300; // after which a lower cap, a pull or a freeze binds, ms
-    double slack = 0.04; // over the cap, and this many picks
-    double picks = 2;
+struct ReleaseRules {
+    ReleaseSettings settings;
+    std::int64_t window = 3000; // ms, over which the exposure rule counts picks
+    std::int64_t grace = 300; // ms, after which a lower cap, a pull or a freeze must hold
+    double extra_share = 0.04; // tolerated above the cap
+    double extra_picks = 2; // tolerated beyond that
 };
 
-// One line for each breach: cell, build, time, figures. Only picks at builds that the desk has offered count,
-// of customers of the scheme, in the scheme's own zone. The time of asking bounds the RPCs taken.
-std::vector<std::string> breaches(const Rule &rule, const std::vector<Step> &steps, const Picks &picks,
-                                  const std::deque<Asked> &asked);
+// Returns one line for each breach, with its cell, build, time and figures. It checks only picks of builds
+// that the desk has offered, for customers of the settings, in the settings' own zone. An RPC counts from the
+// time at which its client had written it.
+std::vector<std::string> breaches(const ReleaseRules &rules, const std::vector<Step> &steps,
+                                  const Picks &picks, const std::deque<RpcRecord> &rpcs);
 
 } // namespace pineridge::standins
--- a/standins/clients/clients.hpp
+++ b/standins/clients/clients.hpp
@@ -1,5 +1,5 @@
-// Stand-in clients of a router on loopback: each RPC goes out when told, on an idle connection or a new one,
-// and its final answer is written down. Nothing is asked again.
+// Stand-in clients of a router on loopback. Each RPC is sent at once, on an idle connection or a new one, and
+// its final answer is recorded. RPCs are not retried unless use_client_timeouts() sets a number of retries.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -15,17 +15,17 @@
 
 namespace asio = boost::asio;
 
-struct Asked {
-    std::int64_t at = 0; // ms since the Unix epoch, when its last byte was written
+struct RpcRecord {
+    std::int64_t at = 0; // when it was sent, ms since the Unix epoch
     std::string rpc, customer, method;
-    std::string answer{}; // empty: none yet; "lost": the connection ended without one
-    std::int64_t took = -1; // ms until the answer
-    int build = 0; // that served it
+    std::string answer{}; // empty: none yet; "lost": the connection ended without an answer
+    std::int64_t latency_ms = -1; // until the answer
+    int build = 0; // the build that served it
 };
 
-// The command that asks one RPC; methods whose name begins with "do" go as Q.DO, others as Q.ASK.
+// Returns the command for one RPC. Methods whose names begin with "do" are sent as Q.DO, others as Q.ASK.
 std::string rpc_command(const std::string &customer, const std::string &method, const std::string &key,
-                        const std::string &id, int patience_ms);
+                        const std::string &id, int timeout_ms);
 
 class Clients {
   public:
@@ -33,32 +33,37 @@
     Clients(asio::io_context &io, asio::ip::tcp::endpoint router, Now now)
         : io_(io), router_(router), now_(std::move(now)) {}
 
-    // One RPC.
-    void ask(const std::string &customer, const std::string &method, const std::string &key,
-             int patience_ms = 1000);
-    asio::awaitable<bool> ready(); // has the router answered PING?
+    // Sends one RPC.
+    void send_rpc(const std::string &customer, const std::string &method, const std::string &key,
+                  int timeout_ms = 1000);
+    asio::awaitable<bool> ready(); // whether the router answers PING
 
-    const std::deque<Asked> &asked() const { return asked_; }
-    int open() const { return open_; } // RPCs without an answer
+    const std::deque<RpcRecord> &rpcs() const { return rpcs_; }
+    int open_rpcs() const { return open_rpcs_; } // without an answer yet
     std::size_t connections() const { return connections_; }
 
-    // Clients that wait no longer than they told, then close, and that ask again so often after a pushback,
-    // when told to or after a drawn wait. Off: they wait for whatever comes.
-    void lose_patience(int retries) { impatient_ = true, retries_ = retries; }
+    // From now on a client closes its connection when the timeout of its RPC has passed, and retries an RPC
+    // that was pushed back, up to `retries` times, after the advised pause or a varying one of its own.
+    // Without this call, clients wait without limit.
+    void use_client_timeouts(int retries) {
+        uses_timeouts_ = true;
+        retries_ = retries;
+    }
 
   private:
     using Socket = std::shared_ptr<asio::ip::tcp::socket>;
-    asio::awaitable<void> run(std::size_t at, std::string key, int patience_ms, int tries);
-    asio::awaitable<Socket> connection(); // an idle one, or a new one; none: refused
+    asio::awaitable<void> run(std::size_t index, std::string key, int timeout_ms, int attempt);
+    asio::awaitable<Socket> connection(); // an idle or a new one; null where refused
 
     asio::io_context &io_;
     asio::ip::tcp::endpoint router_;
     Now now_;
-    std::deque<Asked> asked_;
+    std::deque<RpcRecord> rpcs_;
     std::vector<Socket> idle_;
-    int open_ = 0, retries_ = 0;
+    int open_rpcs_ = 0;
+    int retries_ = 0;
     std::size_t connections_ = 0;
-    bool impatient_ = false;
+    bool uses_timeouts_ = false;
 };
 
 } // namespace pineridge::standins
--- a/standins/desk/desk.cpp
+++ b/standins/desk/desk.cpp
@@ -12,25 +12,25 @@
 
 namespace {
 
-void put_build(json &word, const std::string &text) {
+void put_build(json &update, const std::string &text) {
     const std::size_t at = text.find('/');
     if (at == std::string::npos) throw std::runtime_error("not SERVICE/BUILD: " + text);
-    word["service"] = text.substr(0, at);
-    word["build"] = std::stoi(text.substr(at + 1));
+    update["service"] = text.substr(0, at);
+    update["build"] = std::stoi(text.substr(at + 1));
 }
 
-// key=value words of the rest of a line.
-std::map<std::string, std::string> pairs(std::istringstream &from) {
+// Reads the KEY=VALUE arguments in the rest of a line.
+std::map<std::string, std::string> read_pairs(std::istringstream &from) {
     std::map<std::string, std::string> read;
-    for (std::string word; from >> word;) {
-        const std::size_t at = word.find('=');
-        if (at == std::string::npos) throw std::runtime_error("not KEY=VALUE: " + word);
-        read[word.substr(0, at)] = word.substr(at + 1);
+    for (std::string argument; from >> argument;) {
+        const std::size_t at = argument.find('=');
+        if (at == std::string::npos) throw std::runtime_error("not KEY=VALUE: " + argument);
+        read[argument.substr(0, at)] = argument.substr(at + 1);
     }
     return read;
 }
 
-json stage_word(const std::string &text) {
+json stage_value(const std::string &text) {
     return text == "released" || text == "match" ? json(text) : json(std::stoi(text));
 }
 
@@ -39,159 +39,163 @@
 Desk::Desk(asio::io_context &io, Now now, std::ostream *record, unsigned short port)
     : io_(io), now_(std::move(now)), record_(record),
       server_(
-          io, [this](const Call &call, const auto &talk) { take(call, talk); }, port) {
-    asio::co_spawn(io, live(), asio::detached);
+          io, [this](const HttpRequest &request, const auto &connection) { handle(request, connection); },
+          port) {
+    asio::co_spawn(io, send_keepalives(), asio::detached);
 }
 
-asio::awaitable<void> Desk::live() {
+asio::awaitable<void> Desk::send_keepalives() {
     asio::steady_timer timer(io_);
     for (;;) {
         timer.expires_after(std::chrono::seconds(1));
         co_await timer.async_wait(as_tuple(use_awaitable));
-        if (!mute_)
+        if (!muted_)
             for (const auto &weak : streams_)
-                if (const auto talk = weak.lock()) talk->line("{}");
+                if (const auto connection = weak.lock()) connection->send_line("{}");
     }
 }
 
-void Desk::take(const Call &call, const std::shared_ptr<Talk> &talk) {
-    if (call.method == "GET" && call.path == "/release/v1/snapshot") {
+void Desk::handle(const HttpRequest &request, const std::shared_ptr<HttpConnection> &connection) {
+    if (request.method == "GET" && request.path == "/release/v1/snapshot") {
         ++snapshots_;
-        return talk->answer(200, ledger_.snapshot(now_()));
+        return connection->answer(200, log_.snapshot(now_()));
     }
-    if (call.method == "GET" && call.path.rfind("/release/v1/stream?from=", 0) == 0) {
-        const std::int64_t from = std::stoll(call.path.substr(24));
-        ++streams_taken_;
-        talk->begin_lines();
-        if (mute_) {
-            streams_.push_back(talk);
+    if (request.method == "GET" && request.path.rfind("/release/v1/stream?from=", 0) == 0) {
+        const std::int64_t from = std::stoll(request.path.substr(24));
+        ++streams_accepted_;
+        connection->begin_stream();
+        if (muted_) {
+            streams_.push_back(connection);
             return;
         }
-        if (!ledger_.holds(from)) {
-            talk->line(R"({"type":"resync"})");
+        if (!log_.can_follow_from(from)) {
+            connection->send_line(R"({"type":"resync"})");
             return;
         }
-        streams_.push_back(talk);
-        talk->line("{}");
-        for (const std::string &line : ledger_.lines_after(from)) talk->line(line);
+        streams_.push_back(connection);
+        connection->send_line("{}");
+        for (const std::string &line : log_.lines_after(from)) connection->send_line(line);
         return;
     }
-    const json body = json::parse(call.body, nullptr, false);
-    if (call.method == "POST" && call.path == "/release/v1/opinions" && body.is_object())
-        return opinion(body, talk);
-    if (call.method == "POST" && call.path == "/release/v1/words" && body.is_object()) {
+    const json body = json::parse(request.body, nullptr, false);
+    if (request.method == "POST" && request.path == "/release/v1/opinions" && body.is_object())
+        return handle_opinion(body, connection);
+    if (request.method == "POST" && request.path == "/release/v1/words" && body.is_object()) {
         add(body);
-        return talk->answer(200, json{{"rev", ledger_.revision()}}.dump());
+        return connection->answer(200, json{{"rev", log_.revision()}}.dump());
     }
-    talk->answer(400, R"({"error":"bad_request"})");
+    connection->answer(400, R"({"error":"bad_request"})");
 }
 
-void Desk::opinion(const json &said, const std::shared_ptr<Talk> &talk) {
-    opinions_.push_back(said);
-    if (mode_ == "deaf") return;
-    if (mode_ == "full") return talk->answer(429, R"({"error":"too_many_calls"})");
-    if (mode_ == "late") {
-        late_.push_back(said);
-        return; // no answer: its giver cannot know
+void Desk::handle_opinion(const json &opinion, const std::shared_ptr<HttpConnection> &connection) {
+    opinions_.push_back(opinion);
+    if (opinion_mode_ == "deaf") return;
+    if (opinion_mode_ == "full") return connection->answer(429, R"({"error":"too_many_calls"})");
+    if (opinion_mode_ == "late") {
+        late_opinions_.push_back(opinion);
+        return; // without an answer its sender cannot know whether it counts
     }
-    const bool counted = count(said);
-    if (mode_ == "unclear") return talk->reset();
-    talk->answer(counted ? 200 : 409,
-                 counted ? json{{"rev", ledger_.revision()}}.dump() : R"({"error":"out_of_date"})");
+    const bool counted = count(opinion);
+    if (opinion_mode_ == "unclear") return connection->reset();
+    connection->answer(counted ? 200 : 409,
+                       counted ? json{{"rev", log_.revision()}}.dump() : R"({"error":"out_of_date"})");
 }
 
-bool Desk::count(const json &said) {
-    const std::string name = build_text(said), verdict = said.at("verdict");
-    json word{{"service", said["service"]}, {"build", said["build"]}};
-    if (!said.contains("zone")) {
+bool Desk::count(const json &opinion) {
+    const std::string name = build_text(opinion), verdict = opinion.at("verdict");
+    json update{{"service", opinion["service"]}, {"build", opinion["build"]}};
+    if (!opinion.contains("zone")) {
         if (verdict != "back") return false;
-        word["type"] = "pull";
-        add(word);
+        update["type"] = "pull";
+        add(update);
         return true;
     }
-    const CellName cell{said["zone"], said["customer"]};
-    const bool on = verdict == "on";
-    if (on && (ledger_.stage(name, cell) != said["stage"] ||
-               (heed_ && ledger_.frozen(said["service"], cell, now_()))))
+    const CellName cell{opinion["zone"], opinion["customer"]};
+    const bool advances = verdict == "on";
+    if (advances && (log_.stage(name, cell) != opinion["stage"] ||
+                     (heeds_freezes_ && log_.frozen(opinion["service"], cell, now_()))))
         return false;
-    word["type"] = "stage";
-    word["zone"] = cell.first;
-    word["customer"] = cell.second;
-    word["stage"] = said["stage"].get<int>() + (on ? 1 : 0);
-    add(word);
+    update["type"] = "stage";
+    update["zone"] = cell.first;
+    update["customer"] = cell.second;
+    update["stage"] = opinion["stage"].get<int>() + (advances ? 1 : 0);
+    add(update);
     return true;
 }
 
-void Desk::add(json word) {
-    const std::string line = ledger_.add(std::move(word), now_());
+void Desk::add(json update) {
+    const std::string line = log_.add(std::move(update), now_());
     if (record_) *record_ << now_() << ' ' << line << std::endl;
-    recent_.push_back(line);
+    sent_lines_.push_back(line);
     publish(line);
 }
 
 void Desk::publish(const std::string &line) {
-    if (mute_ || swap_ > 0) {
-        held_.push_back(line);
-        if (mute_ || --swap_ > 0) return;
-        const std::vector<std::string> lines(held_.rbegin(), held_.rend());
-        held_.clear();
+    if (muted_ || lines_to_swap_ > 0) {
+        held_lines_.push_back(line);
+        if (muted_ || --lines_to_swap_ > 0) return;
+        const std::vector<std::string> lines(held_lines_.rbegin(), held_lines_.rend());
+        held_lines_.clear();
         for (const std::string &one : lines) publish(one);
         return;
     }
-    const bool torn = std::exchange(torn_, false), spoil = std::exchange(spoil_, false);
+    const bool cut_line = std::exchange(cut_next_line_, false),
+               corrupt_line = std::exchange(corrupt_next_line_, false);
     for (const auto &weak : streams_) {
-        const auto talk = weak.lock();
-        if (!talk) continue;
-        if (!torn) {
-            talk->line(spoil ? "\x01 {noise" : line);
+        const auto connection = weak.lock();
+        if (!connection) continue;
+        if (!cut_line) {
+            connection->send_line(corrupt_line ? "\x01 {noise" : line);
             continue;
         }
-        // Half of the chunk goes out; the reset comes once it is on its way.
-        talk->send("ffff\r\n" + line.substr(0, line.size() / 2));
-        asio::post(io_, [this, talk] { asio::post(io_, [talk] { talk->close(); }); });
+        // Sends half of the chunk, and closes the connection once the write has begun.
+        connection->send("ffff\r\n" + line.substr(0, line.size() / 2));
+        asio::post(io_, [this, connection] { asio::post(io_, [connection] { connection->close(); }); });
     }
 }
 
-void Desk::tell(const std::string &line) {
+void Desk::execute(const std::string &line) {
     std::istringstream from(line);
     std::string verb, build;
     from >> verb;
     if (verb.empty() || verb[0] == '#') return;
     if (verb == "offer" || verb == "stage" || verb == "pull") {
-        json word{{"type", verb}};
+        json update{{"type", verb}};
         from >> build;
-        put_build(word, build);
+        put_build(update, build);
         if (verb == "stage") {
             std::string zone, customer;
             int stage = 0;
             from >> zone >> customer >> stage;
-            word["zone"] = zone, word["customer"] = customer, word["stage"] = stage;
+            update["zone"] = zone;
+            update["customer"] = customer;
+            update["stage"] = stage;
         }
         for (std::string next; verb == "offer" && from >> next;) {
             if (next == "strict") {
-                word["needs"].back()["strict"] = true;
+                update["needs"].back()["strict"] = true;
                 continue;
             }
-            std::string on, stage;
-            from >> on >> stage;
-            json need{{"stage", stage_word(stage)}};
-            put_build(need, on);
-            word["needs"].push_back(need);
+            std::string required, stage;
+            from >> required >> stage;
+            json need{{"stage", stage_value(stage)}};
+            put_build(need, required);
+            update["needs"].push_back(need);
         }
-        return add(word);
+        return add(update);
     }
     if (verb == "freeze") {
-        json word{{"type", verb}};
+        json update{{"type", verb}};
         std::string id;
         from >> id;
-        word["id"] = id;
-        word["from_ms"] = now_();
-        for (const auto &[key, value] : pairs(from))
+        update["id"] = id;
+        update["from_ms"] = now_();
+        for (const auto &[key, value] : read_pairs(from))
             if (key == "from" || key == "to")
-                word[key + "_ms"] = now_() + std::stoll(value);
+                update[key + "_ms"] = now_() + std::stoll(value);
             else
-                word[key] = value;
-        return add(word);
+                update[key] = value;
+        return add(update);
     }
     if (verb == "lift") {
         std::string id;
@@ -201,9 +205,9 @@
     if (verb == "cap") {
         double cap = 0;
         from >> cap;
-        json word{{"type", verb}, {"cap", cap}};
-        for (const auto &[key, value] : pairs(from)) word[key] = value;
-        return add(word);
+        json update{{"type", verb}, {"cap", cap}};
+        for (const auto &[key, value] : read_pairs(from)) update[key] = value;
+        return add(update);
     }
     if (verb == "ledger") {
         std::string customer;
@@ -212,54 +216,55 @@
         return add({{"type", verb}, {"customer", customer}, {"traffic", traffic}, {"withdrawn", withdrawn}});
     }
     if (verb == "opinions") {
-        from >> mode_;
-        if (mode_ == "count")
-            for (const json &said : std::exchange(late_, {})) count(said);
+        from >> opinion_mode_;
+        if (opinion_mode_ == "count")
+            for (const json &opinion : std::exchange(late_opinions_, {})) count(opinion);
         return;
     }
     if (verb == "heed") {
-        std::string word;
-        from >> word;
-        heed_ = word == "yes";
+        std::string answer;
+        from >> answer;
+        heeds_freezes_ = answer == "yes";
         return;
     }
     if (verb == "repeat") {
         std::size_t most = 0;
         from >> most;
-        const std::vector<std::string> lines(
-            recent_.rbegin(), recent_.rbegin() + static_cast<long>(std::min(most, recent_.size())));
+        const std::vector<std::string> lines(sent_lines_.rbegin(),
+                                             sent_lines_.rbegin() +
+                                                 static_cast<long>(std::min(most, sent_lines_.size())));
         for (const std::string &one : lines) publish(one);
         return;
     }
     if (verb == "forget") {
-        std::int64_t words = 0;
-        from >> words;
+        std::int64_t updates = 0;
+        from >> updates;
         server_.stop();
         streams_.clear();
-        ledger_.forget_after(std::max<std::int64_t>(0, ledger_.revision() - words));
+        log_.forget_after(std::max<std::int64_t>(0, log_.revision() - updates));
         return server_.start();
     }
     if (verb == "speak") {
-        mute_ = false;
-        for (const std::string &one : std::exchange(held_, {})) publish(one);
+        muted_ = false;
+        for (const std::string &one : std::exchange(held_lines_, {})) publish(one);
         return;
     }
     if (verb == "torn")
-        torn_ = true;
+        cut_next_line_ = true;
     else if (verb == "spoil")
-        spoil_ = true;
+        corrupt_next_line_ = true;
     else if (verb == "swap")
-        swap_ = 2;
+        lines_to_swap_ = 2;
     else if (verb == "mute")
-        mute_ = true;
+        muted_ = true;
     else if (verb == "compact")
-        ledger_.compact();
+        log_.compact();
     else if (verb == "start")
         server_.start();
     else if (verb == "stop")
         streams_.clear(), server_.stop();
     else
-        throw std::runtime_error("desk script: unknown: " + line);
+        throw std::runtime_error("desk script: unknown line: " + line);
 }
 
 } // namespace pineridge::standins
--- a/standins/discovery/discovery.hpp
+++ b/standins/discovery/discovery.hpp
@@ -1,4 +1,5 @@
-// A stand-in discovery service on loopback: the whole list, and watches that wait for the next version.
+// A stand-in discovery service on loopback. It answers with the full host list, and holds watches until the
+// next version or until their wait time has passed.
 #pragma once
 
 #include "standins/http/server.hpp"
@@ -11,41 +12,46 @@
 
 class Discovery {
   public:
-    using Entries = std::function<nlohmann::json()>; // all hosts, as they are now
+    using Entries = std::function<nlohmann::json()>; // returns all current hosts
 
     Discovery(asio::io_context &io, Entries entries)
         : io_(io), entries_(std::move(entries)),
-          server_(io, [this](const Call &call, const auto &talk) { take(call, talk); }) {}
+          server_(io, [this](const HttpRequest &request, const auto &connection) {
+              handle(request, connection);
+          }) {}
 
     std::string address() const { return server_.address(); }
     int version() const { return version_; }
-    nlohmann::json whole() const { return {{"version", version_}, {"full", true}, {"servers", entries_()}}; }
+    nlohmann::json full_list() const {
+        return {{"version", version_}, {"full", true}, {"servers", entries_()}};
+    }
 
-    // Something changed: every watch is answered with the whole list.
-    void changed() {
+    // Starts a new version and answers every waiting watch with the full list.
+    void notify_watches() {
         ++version_;
         for (const auto &weak : std::exchange(waiting_, {}))
-            if (const auto talk = weak.lock()) talk->answer(200, whole().dump());
+            if (const auto connection = weak.lock()) connection->answer(200, full_list().dump());
     }
 
   private:
-    void take(const Call &call, const std::shared_ptr<Talk> &talk) {
-        const std::size_t at = call.path.find("from=");
-        if (at == std::string::npos || std::stoi(call.path.substr(at + 5)) != version_)
-            return talk->answer(200, whole().dump());
-        const std::size_t wait = call.path.find("hold_ms=");
-        const std::chrono::milliseconds span(
-            wait == std::string::npos ? 0 : std::stol(call.path.substr(wait + 8)));
-        waiting_.push_back(talk);
-        asio::co_spawn(io_, hold(talk, version_, span), asio::detached);
+    void handle(const HttpRequest &request, const std::shared_ptr<HttpConnection> &connection) {
+        const std::size_t from = request.path.find("from=");
+        if (from == std::string::npos || std::stoi(request.path.substr(from + 5)) != version_)
+            return connection->answer(200, full_list().dump());
+        const std::size_t wait = request.path.find("hold_ms=");
+        const std::chrono::milliseconds wait_time(
+            wait == std::string::npos ? 0 : std::stol(request.path.substr(wait + 8)));
+        waiting_.push_back(connection);
+        asio::co_spawn(io_, answer_after_wait(connection, version_, wait_time), asio::detached);
     }
-    asio::awaitable<void> hold(std::weak_ptr<Talk> weak, int version, std::chrono::milliseconds span) {
-        asio::steady_timer timer(io_, span);
+    asio::awaitable<void> answer_after_wait(std::weak_ptr<HttpConnection> weak, int version,
+                                            std::chrono::milliseconds wait_time) {
+        asio::steady_timer timer(io_, wait_time);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-        const auto talk = weak.lock();
-        if (!talk || version != version_) co_return;
-        waiting_.remove_if([&](const auto &one) { return one.lock() == talk; });
-        talk->answer(
+        const auto connection = weak.lock();
+        if (!connection || version != version_) co_return;
+        waiting_.remove_if([&](const auto &waiting) { return waiting.lock() == connection; });
+        connection->answer(
             200, nlohmann::json{{"version", version_}, {"full", false}, {"servers", nlohmann::json::array()}}
                      .dump());
     }
@@ -53,7 +59,7 @@
     asio::io_context &io_;
     Entries entries_;
     Server server_;
-    std::list<std::weak_ptr<Talk>> waiting_;
+    std::list<std::weak_ptr<HttpConnection>> waiting_;
     int version_ = 1;
 };
 
--- a/standins/discovery/faulty.hpp
+++ b/standins/discovery/faulty.hpp
@@ -1,6 +1,5 @@
-// A stand-in discovery service on loopback that fails as a test tells it to. It answers with the entries
-// changed since the version asked from, keeps watches open, and records when each change was made. It decides
-// nothing about routers.
+// A stand-in discovery service on loopback with faults that a test selects. It answers with the entries that
+// have changed since the requested version, keeps watches open, and records when each change was made.
 #pragma once
 
 #include "standins/http/server.hpp"
@@ -18,14 +17,14 @@
 
 class FaultyDiscovery {
   public:
-    // How calls end from now on. `refusing` and `resetting` also end the watches that stand, in the same way.
+    // How calls end from now on. Entering `refusing` or `resetting` also ends the open watches in that way.
     enum class Mode {
         serving,
-        refusing, // 503, after `refuse_after`
-        crowded, // the same, but the watches that stand go on
-        resetting, // the connection is reset, after `refuse_after`
-        hanging, // taken and never answered; standing watches stay open and silent
-        cutting, // the answer breaks off in its middle
+        refusing, // answers 503 after `refuse_after`
+        refusing_new_calls, // as `refusing`, but open watches continue
+        resetting, // resets the connection after `refuse_after`
+        hanging, // accepts and never answers; open watches stay open and silent
+        truncating, // closes the connection in the middle of an answer
     };
     struct Change {
         std::int64_t at = 0; // ms since the Unix epoch
@@ -35,21 +34,24 @@
 
     FaultyDiscovery(asio::io_context &io, Now now)
         : io_(io), now_(std::move(now)),
-          server_(io, [this](const Call &call, const auto &talk) { take(call, talk); }) {}
+          server_(io, [this](const HttpRequest &request, const auto &connection) {
+              handle(request, connection);
+          }) {}
 
     std::string address() const { return server_.address(); }
 
-    // A host is listed, or its entry changes.
-    void list(const nlohmann::json &entry) {
+    // Adds a host or changes its entry.
+    void set_entry(const nlohmann::json &entry) {
         const std::string id = entry.at("id");
         entries_[id] = {entry, ++version_};
         changes.push_back({now_(), id, entry.at("state")});
-        if (mode_ == Mode::serving || mode_ == Mode::crowded || mode_ == Mode::cutting) tell_watches();
+        if (mode_ == Mode::serving || mode_ == Mode::refusing_new_calls || mode_ == Mode::truncating)
+            answer_watches();
     }
-    nlohmann::json whole() const {
-        nlohmann::json all = {{"version", version_}, {"full", true}, {"servers", nlohmann::json::array()}};
-        for (const auto &[id, listed] : entries_) all["servers"].push_back(listed.entry);
-        return all;
+    nlohmann::json full_list() const {
+        nlohmann::json list = {{"version", version_}, {"full", true}, {"servers", nlohmann::json::array()}};
+        for (const auto &[id, listed] : entries_) list["servers"].push_back(listed.entry);
+        return list;
     }
 
     void set(Mode mode) {
@@ -57,10 +59,10 @@
         if (mode == Mode::refusing || mode == Mode::resetting) end_watches();
     }
 
-    std::size_t standing() const { return watches_.size(); }
+    std::size_t open_watches() const { return watches_.size(); }
 
     std::vector<Change> changes;
-    int calls = 0; // taken so far
+    int calls = 0; // received so far
     std::chrono::milliseconds refuse_after{300};
 
   private:
@@ -69,72 +71,78 @@
         int version = 0;
     };
     struct Watch {
-        std::weak_ptr<Talk> talk;
+        std::weak_ptr<HttpConnection> connection;
         int from = 0;
     };
 
-    static int number(const std::string &path, const std::string &name) {
+    static int query_number(const std::string &path, const std::string &name) {
         const std::size_t at = path.find(name + "=");
         return at == std::string::npos ? -1 : std::stoi(path.substr(at + name.size() + 1));
     }
     std::string changed_since(int version) const {
-        nlohmann::json some = {{"version", version_}, {"full", false}, {"servers", nlohmann::json::array()}};
+        nlohmann::json changes_only = {
+            {"version", version_}, {"full", false}, {"servers", nlohmann::json::array()}};
         for (const auto &[id, listed] : entries_)
-            if (listed.version > version) some["servers"].push_back(listed.entry);
-        return some.dump();
+            if (listed.version > version) changes_only["servers"].push_back(listed.entry);
+        return changes_only.dump();
     }
 
-    void take(const Call &call, const std::shared_ptr<Talk> &talk) {
+    void handle(const HttpRequest &request, const std::shared_ptr<HttpConnection> &connection) {
         ++calls;
-        if (mode_ == Mode::hanging) return hung_.push_back(talk);
-        if (mode_ == Mode::refusing || mode_ == Mode::crowded || mode_ == Mode::resetting) {
-            asio::co_spawn(io_, refuse(talk), asio::detached);
+        if (mode_ == Mode::hanging) return unanswered_.push_back(connection);
+        if (mode_ == Mode::refusing || mode_ == Mode::refusing_new_calls || mode_ == Mode::resetting) {
+            asio::co_spawn(io_, end_after_delay(connection), asio::detached);
             return;
         }
-        const int from = number(call.path, "from");
-        if (from < 0) return answer(talk, whole().dump());
-        if (from < version_) return answer(talk, changed_since(from));
-        watches_.push_back({talk, from});
-        asio::co_spawn(io_, hold(talk, std::chrono::milliseconds(number(call.path, "hold_ms"))),
-                       asio::detached);
+        const int from = query_number(request.path, "from");
+        if (from < 0) return answer(connection, full_list().dump());
+        if (from < version_) return answer(connection, changed_since(from));
+        watches_.push_back({connection, from});
+        asio::co_spawn(
+            io_,
+            answer_after_wait(connection, std::chrono::milliseconds(query_number(request.path, "hold_ms"))),
+            asio::detached);
     }
-    void answer(const std::shared_ptr<Talk> &talk, const std::string &body) {
-        if (mode_ != Mode::cutting) return talk->answer(200, body);
-        talk->send("HTTP/1.1 200 -\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
-                   body.substr(0, body.size() / 2));
-        asio::co_spawn(io_, break_off(talk), asio::detached);
+    void answer(const std::shared_ptr<HttpConnection> &connection, const std::string &body) {
+        if (mode_ != Mode::truncating) return connection->answer(200, body);
+        connection->send("HTTP/1.1 200 -\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
+                         body.substr(0, body.size() / 2));
+        asio::co_spawn(io_, reset_soon(connection), asio::detached);
     }
-    void tell_watches() {
+    void answer_watches() {
         for (const Watch &watch : std::exchange(watches_, {}))
-            if (const auto talk = watch.talk.lock()) answer(talk, changed_since(watch.from));
+            if (const auto connection = watch.connection.lock())
+                answer(connection, changed_since(watch.from));
     }
     void end_watches() {
         for (const Watch &watch : std::exchange(watches_, {}))
-            if (const auto talk = watch.talk.lock()) end(talk);
+            if (const auto connection = watch.connection.lock()) end(connection);
     }
-    void end(const std::shared_ptr<Talk> &talk) const {
-        if (mode_ == Mode::resetting) return talk->reset();
-        talk->answer(503, "");
+    void end(const std::shared_ptr<HttpConnection> &connection) const {
+        if (mode_ == Mode::resetting) return connection->reset();
+        connection->answer(503, "");
     }
-    asio::awaitable<void> refuse(std::shared_ptr<Talk> talk) {
+    asio::awaitable<void> end_after_delay(std::shared_ptr<HttpConnection> connection) {
         asio::steady_timer timer(io_, refuse_after);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-        end(talk);
+        end(connection);
     }
-    asio::awaitable<void> break_off(std::shared_ptr<Talk> talk) {
+    asio::awaitable<void> reset_soon(std::shared_ptr<HttpConnection> connection) {
         asio::steady_timer timer(io_, std::chrono::milliseconds(20));
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-        talk->reset();
+        connection->reset();
     }
-    asio::awaitable<void> hold(std::weak_ptr<Talk> weak, std::chrono::milliseconds span) {
-        asio::steady_timer timer(io_, span);
+    asio::awaitable<void> answer_after_wait(std::weak_ptr<HttpConnection> weak,
+                                            std::chrono::milliseconds wait_time) {
+        asio::steady_timer timer(io_, wait_time);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
-        const auto talk = weak.lock();
-        const auto at = std::find_if(watches_.begin(), watches_.end(),
-                                     [&](const Watch &one) { return talk && one.talk.lock() == talk; });
-        if (at == watches_.end()) co_return;
-        watches_.erase(at);
-        answer(talk, changed_since(version_));
+        const auto connection = weak.lock();
+        const auto found = std::find_if(watches_.begin(), watches_.end(), [&](const Watch &watch) {
+            return connection && watch.connection.lock() == connection;
+        });
+        if (found == watches_.end()) co_return;
+        watches_.erase(found);
+        answer(connection, changed_since(version_));
     }
 
     asio::io_context &io_;
@@ -144,7 +152,7 @@
     int version_ = 0;
     std::map<std::string, Listed> entries_;
     std::list<Watch> watches_;
-    std::vector<std::shared_ptr<Talk>> hung_;
+    std::vector<std::shared_ptr<HttpConnection>> unanswered_;
 };
 
 } // namespace pineridge::standins
--- a/standins/host/host.cpp
+++ b/standins/host/host.cpp
@@ -29,22 +29,22 @@
 }
 
 asio::awaitable<void> Host::serve(asio::ip::tcp::socket socket) {
-    std::string heard, room(16384, '\0');
+    std::string received, buffer(16384, '\0');
     asio::steady_timer timer(io_);
-    std::int64_t begun = 0;
+    std::int64_t first_byte_at = 0;
     for (;;) {
         const auto [failed, size] =
-            co_await socket.async_read_some(asio::buffer(room), as_tuple(use_awaitable));
+            co_await socket.async_read_some(asio::buffer(buffer), as_tuple(use_awaitable));
         if (failed) co_return;
-        if (heard.empty()) begun = now_();
-        heard.append(room, 0, size);
+        if (received.empty()) first_byte_at = now_();
+        received.append(buffer, 0, size);
         resp::Value value;
-        while (resp::scan(heard, {65536, 16, 4, 1024}, value) == resp::ScanResult::complete) {
-            std::vector<std::string_view> words;
-            for (const resp::Value &item : value.items) words.push_back(item.body);
-            const std::string reply = answer(words, begun);
-            heard.erase(0, value.raw.size());
-            timer.expires_after(takes);
+        while (resp::scan(received, {65536, 16, 4, 1024}, value) == resp::ScanResult::complete) {
+            std::vector<std::string_view> arguments;
+            for (const resp::Value &item : value.items) arguments.push_back(item.body);
+            const std::string reply = answer(arguments, first_byte_at);
+            received.erase(0, value.raw.size());
+            timer.expires_after(answer_delay);
             co_await timer.async_wait(as_tuple(use_awaitable));
             const auto [broken, written] =
                 co_await asio::async_write(socket, asio::buffer(reply), as_tuple(use_awaitable));
@@ -53,19 +53,20 @@
     }
 }
 
-std::string Host::answer(const std::vector<std::string_view> &words, std::int64_t begun) {
-    if (words.size() < 4) return "-SYNTAX\r\n";
-    PickRow row{now_(), begun, id, std::string(words[2]), std::string(words[1]), "", "", build};
-    std::string_view names = words[3];
-    while (!names.empty()) {
-        const std::string_view one = names.substr(0, names.find(','));
-        names.remove_prefix(std::min(names.size(), one.size() + 1));
-        if (one.substr(0, 2) == "c=") row.method = one.substr(2);
-        if (one.substr(0, 2) == "t=") row.customer = one.substr(2);
+std::string Host::answer(const std::vector<std::string_view> &arguments, std::int64_t first_byte_at) {
+    if (arguments.size() < 4) return "-SYNTAX\r\n";
+    PickRecord pick{now_(), first_byte_at, id, std::string(arguments[2]), std::string(arguments[1]), "",
+                    "",     build};
+    std::string_view fields = arguments[3];
+    while (!fields.empty()) {
+        const std::string_view field = fields.substr(0, fields.find(','));
+        fields.remove_prefix(std::min(fields.size(), field.size() + 1));
+        if (field.substr(0, 2) == "c=") pick.method = field.substr(2);
+        if (field.substr(0, 2) == "t=") pick.customer = field.substr(2);
     }
-    const std::string value = row.rpc + "@" + std::to_string(build);
-    picks_.push_back(std::move(row));
-    if (count_++ % 100 * 37 % 100 < fails_of_100) return "-ERR failed\r\n";
+    const std::string value = pick.rpc + "@" + std::to_string(build);
+    picks_.push_back(std::move(pick));
+    if (answers_++ % 100 * 37 % 100 < failure_percent) return "-ERR failed\r\n";
     return "*3\r\n$" + std::to_string(value.size()) + "\r\n" + value + "\r\n$-1\r\n$-1\r\n";
 }
 
--- a/standins/http/place.hpp
+++ b/standins/http/reserved_port.hpp
@@ -1,14 +1,16 @@
-// A port of loopback that stays one party's, also while nothing listens there: bound and not listening, it is
-// given to no outgoing connection, which would else make a later listen fail.
+// A loopback port that stays reserved for one server, also while nothing listens on it. The port is bound by
+// a socket that does not listen, so the kernel assigns it to no outgoing connection; such a connection would
+// make a later listen fail.
 #pragma once
 
 #include <boost/asio.hpp>
 
 namespace pineridge::standins {
 
-class Place {
+class ReservedPort {
   public:
-    explicit Place(boost::asio::io_context &io, unsigned short port = 0) : socket_(io) {
+    // Reserves a free port where `port` is 0.
+    explicit ReservedPort(boost::asio::io_context &io, unsigned short port = 0) : socket_(io) {
         socket_.open(boost::asio::ip::tcp::v4());
         socket_.set_option(boost::asio::socket_base::reuse_address(true));
         socket_.bind({boost::asio::ip::address_v4::loopback(), port});
--- a/standins/http/server.hpp
+++ b/standins/http/server.hpp
@@ -1,8 +1,8 @@
-// A small HTTP/1.1 server for stand-ins: reads calls, hands them on; what is sent back, and when, is its
-// user's.
+// A small HTTP/1.1 server on loopback for the stand-ins. It parses requests and passes them to a handler; the
+// handler decides what is sent back and when. Nothing blocks: all work runs on the given io_context.
 #pragma once
 
-#include "standins/http/place.hpp"
+#include "standins/http/reserved_port.hpp"
 
 #include <deque>
 #include <functional>
@@ -13,15 +13,16 @@
 
 namespace asio = boost::asio;
 
-// One connection. What is sent goes out in order; nothing is sent after close or reset.
-class Talk : public std::enable_shared_from_this<Talk> {
+// One accepted connection. Bytes are sent in the order of the calls; nothing is sent after close() or
+// reset().
+class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
   public:
-    explicit Talk(asio::ip::tcp::socket socket) : socket_(std::move(socket)) {}
+    explicit HttpConnection(asio::ip::tcp::socket socket) : socket_(std::move(socket)) {}
 
     void send(std::string bytes);
-    void answer(int status, const std::string &body); // whole, with its size
-    void begin_lines(); // 200, chunked, left open
-    void line(const std::string &text); // one chunk
+    void answer(int status, const std::string &body); // sends a whole answer with its Content-Length
+    void begin_stream(); // sends the head of a chunked 200 answer, which stays open
+    void send_line(const std::string &text); // sends one line as one chunk
     void close();
     void reset();
     bool open() const { return socket_.is_open(); }
@@ -35,32 +36,32 @@
     bool writing_ = false;
 };
 
-struct Call {
+struct HttpRequest {
     std::string method, path, body;
 };
 
 class Server {
   public:
-    using Handler = std::function<void(const Call &, const std::shared_ptr<Talk> &)>;
+    using Handler = std::function<void(const HttpRequest &, const std::shared_ptr<HttpConnection> &)>;
 
-    // Listens on loopback, on a free port where 0 is told.
+    // Listens on loopback, on a free port where `port` is 0.
     Server(asio::io_context &io, Handler handler, unsigned short port = 0);
 
-    std::string address() const { return "127.0.0.1:" + std::to_string(place_.port()); }
-    void stop(); // listens no more; open connections are reset
-    void start(); // again on the same port
-    int taken() const { return taken_; }
+    std::string address() const { return "127.0.0.1:" + std::to_string(reserved_port_.port()); }
+    void stop(); // stops listening and resets the open connections
+    void start(); // listens again on the same port
+    int accepted() const { return accepted_; } // connections so far
 
   private:
     asio::awaitable<void> accept();
-    asio::awaitable<void> serve(std::shared_ptr<Talk> talk);
+    asio::awaitable<void> serve(std::shared_ptr<HttpConnection> connection);
 
     asio::io_context &io_;
     Handler handler_;
     std::shared_ptr<asio::ip::tcp::acceptor> acceptor_;
-    Place place_;
-    std::deque<std::weak_ptr<Talk>> talks_;
-    int taken_ = 0;
+    ReservedPort reserved_port_;
+    std::deque<std::weak_ptr<HttpConnection>> connections_;
+    int accepted_ = 0;
 };
 
 } // namespace pineridge::standins
--- a/standins/program/program.cpp
+++ b/standins/program/program.cpp
@@ -16,16 +16,16 @@
 namespace pineridge::standins {
 
 Program::Program(const std::filesystem::path &folder, const std::string &program,
-                 std::vector<std::string> words) {
+                 std::vector<std::string> arguments) {
     static int count = 0;
-    out_ = folder / ("said-" + std::to_string(++count));
+    output_file_ = folder / ("said-" + std::to_string(++count));
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
-    posix_spawn_file_actions_addopen(&files, 1, out_.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0644);
+    posix_spawn_file_actions_addopen(&files, 1, output_file_.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0644);
     posix_spawn_file_actions_adddup2(&files, 1, 2);
-    words.insert(words.begin(), program);
+    arguments.insert(arguments.begin(), program);
     std::vector<char *> argv;
-    for (std::string &word : words) argv.push_back(word.data());
+    for (std::string &argument : arguments) argv.push_back(argument.data());
     argv.push_back(nullptr);
     const int failed = posix_spawn(&pid_, program.c_str(), &files, nullptr, argv.data(), environ);
     posix_spawn_file_actions_destroy(&files);
@@ -33,21 +33,21 @@
 }
 
 Program::~Program() {
-    if (over()) return;
+    if (has_ended()) return;
     signal(SIGKILL);
     waitpid(pid_, nullptr, 0);
 }
 
-bool Program::over() {
+bool Program::has_ended() {
     int status = 0;
-    if (over_ || waitpid(pid_, &status, WNOHANG) == 0) return over_;
-    over_ = true;
+    if (ended_ || waitpid(pid_, &status, WNOHANG) == 0) return ended_;
+    ended_ = true;
     status_ = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     return true;
 }
 
 void Program::signal(int number) const {
-    if (!over_) ::kill(pid_, number);
+    if (!ended_) ::kill(pid_, number);
 }
 
 double Program::cpu_s() const {
@@ -75,36 +75,36 @@
     return 0;
 }
 
-void run_for(boost::asio::io_context &io, std::chrono::milliseconds span) {
-    const auto end = std::chrono::steady_clock::now() + span;
+void run_for(boost::asio::io_context &io, std::chrono::milliseconds duration) {
+    const auto end = std::chrono::steady_clock::now() + duration;
     while (std::chrono::steady_clock::now() < end) io.run_one_until(end);
 }
 
-void allow_descriptors(std::size_t most) {
+void limit_descriptors(std::size_t max_descriptors) {
     rlimit files{};
     getrlimit(RLIMIT_NOFILE, &files);
-    files.rlim_cur = std::min<rlim_t>(files.rlim_max, most);
+    files.rlim_cur = std::min<rlim_t>(files.rlim_max, max_descriptors);
     setrlimit(RLIMIT_NOFILE, &files);
 }
 
-std::string Program::said() const {
-    std::ostringstream said;
-    said << std::ifstream(out_).rdbuf();
-    return said.str();
+std::string Program::output() const {
+    std::ostringstream text;
+    text << std::ifstream(output_file_).rdbuf();
+    return text.str();
 }
 
-Ran run(boost::asio::io_context &io, const std::filesystem::path &folder, const std::string &program,
-        std::vector<std::string> words) {
-    Program one(folder, program, std::move(words));
-    while (!one.over()) io.run_one_for(std::chrono::milliseconds(5));
-    const Ran ran{one.status(), one.said()};
-    if (ran.status != 0) std::cerr << ran.said; // read where a status is not the one wanted
-    return ran;
+ProgramResult run(boost::asio::io_context &io, const std::filesystem::path &folder,
+                  const std::string &program, std::vector<std::string> arguments) {
+    Program child(folder, program, std::move(arguments));
+    while (!child.has_ended()) io.run_one_for(std::chrono::milliseconds(5));
+    const ProgramResult result{child.status(), child.output()};
+    if (result.status != 0) std::cerr << result.output; // shows why, where the caller expects another status
+    return result;
 }
 
-bool has(const Ran &ran, const std::string &part) {
-    if (ran.said.find(part) != std::string::npos) return true;
-    std::cerr << ran.said << "lacks: " << part << "\n";
+bool output_contains(const ProgramResult &result, const std::string &part) {
+    if (result.output.find(part) != std::string::npos) return true;
+    std::cerr << result.output << "lacks: " << part << "\n";
     return false;
 }
 
--- a/standins/program/program.hpp
+++ b/standins/program/program.hpp
@@ -1,5 +1,5 @@
-// The program as a person or a platform starts it: with its words, its output in a file, while a loop goes
-// on.
+// Runs a program as a child process with given arguments. Its output goes to a file, and the caller's
+// io_context keeps running meanwhile.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,41 +11,44 @@
 
 namespace pineridge::standins {
 
-struct Ran {
-    int status; // below 0: ended by a signal
-    std::string said; // standard output and error
+struct ProgramResult {
+    int status; // negative where a signal ended it
+    std::string output; // standard output and error
 };
 
 class Program {
   public:
-    // Its output goes to a file in the folder.
-    Program(const std::filesystem::path &folder, const std::string &program, std::vector<std::string> words);
-    ~Program(); // killed, if it still runs
+    // Starts the program; its output goes to a file in `folder`.
+    Program(const std::filesystem::path &folder, const std::string &program,
+            std::vector<std::string> arguments);
+    ~Program(); // kills the process if it still runs
     Program(const Program &) = delete;
 
-    bool over(); // has it ended?
+    bool has_ended();
     int status() const { return status_; }
     void signal(int number) const;
-    std::string said() const;
-    double cpu_s() const; // used so far; 0 where it has ended
-    long memory_kb() const; // resident; 0 where it has ended
+    std::string output() const;
+    double cpu_s() const; // CPU seconds used so far; 0 after its end
+    long memory_kb() const; // resident memory; 0 after its end
 
   private:
-    std::filesystem::path out_;
-    int pid_ = 0, status_ = -1;
-    bool over_ = false;
+    std::filesystem::path output_file_;
+    int pid_ = 0;
+    int status_ = -1;
+    bool ended_ = false;
 };
 
-// Until it has ended, while the loop goes on.
-Ran run(boost::asio::io_context &io, const std::filesystem::path &folder, const std::string &program,
-        std::vector<std::string> words);
+// Runs the program until it has ended, while the io_context keeps running.
+ProgramResult run(boost::asio::io_context &io, const std::filesystem::path &folder,
+                  const std::string &program, std::vector<std::string> arguments);
 
-// The loop goes on for so long.
-void run_for(boost::asio::io_context &io, std::chrono::milliseconds span);
-// This process may open as many descriptors as it is let, up to so many.
-void allow_descriptors(std::size_t most);
-long resident_kb(const std::string &process); // a process id, or "self"; 0: there is none
+// Runs the io_context for the given time.
+void run_for(boost::asio::io_context &io, std::chrono::milliseconds duration);
+// Sets the soft limit of open descriptors of this process, at most its hard limit.
+void limit_descriptors(std::size_t max_descriptors);
+long resident_kb(const std::string &process); // a process id or "self"; 0 where there is no such process
 
-bool has(const Ran &ran, const std::string &part); // else what was said goes to standard error
+// Whether the output contains `part`; where it does not, the output is printed to standard error.
+bool output_contains(const ProgramResult &result, const std::string &part);
 
 } // namespace pineridge::standins
--- a/standins/registry/history.hpp
+++ b/standins/registry/history.hpp
@@ -1,4 +1,4 @@
-// What a registry has told to whom, and when. Plain data.
+// A record of what a registry has sent, and when.
 #pragma once
 
 #include <cstdint>
@@ -6,14 +6,14 @@
 
 namespace pineridge::standins {
 
-struct Told {
-    std::int64_t begun =
-        0; // ms since the Unix epoch, before it was handed to the transport: it may arrive from then
-    std::int64_t at = 0; // the same, once it was handed over
-    int call = 0; // counts the calls answered: a page, or a watch
-    std::int64_t rev = 0;
+// One pair of a page, or one event of a watch. Times are in ms since the Unix epoch.
+struct SentEvent {
+    std::int64_t send_began_at = 0; // before it was passed to the transport; it may arrive from then on
+    std::int64_t sent_at = 0; // after it was passed to the transport
+    int call = 0; // number of the call that it answers: a page or a watch
+    std::int64_t revision = 0;
     std::string key, value;
-    bool gone = false;
+    bool deleted = false;
 };
 
 } // namespace pineridge::standins
--- a/standins/registry/registry.hpp
+++ b/standins/registry/registry.hpp
@@ -1,6 +1,6 @@
-// A stand-in registry on loopback, as etcd v3 speaks, on grpc++: another implementation of the transport than
-// the router's. It keeps all its history and decides nothing: what goes wrong is told to it. Safe for calls
-// from any thread.
+// A stand-in registry on loopback that speaks the etcd v3 protocol. It uses grpc++, so that the router's own
+// transport is tested against another implementation. It keeps its whole history; tests inject faults through
+// its methods, which are safe to call from any thread.
 #pragma once
 
 #include "standins/registry/history.hpp"
@@ -15,50 +15,53 @@
 
 namespace pineridge::standins {
 
-// One word of its history.
-struct Word {
-    std::int64_t rev;
+// One change of a key in the registry's history.
+struct KeyChange {
+    std::int64_t revision;
     std::string key, value;
-    bool gone;
+    bool deleted;
 };
 
-// PEM texts; with authorities told, clients must show a certificate of theirs.
-struct Secure {
+// PEM texts. Where `authorities` is not empty, clients must present a certificate that one of them has
+// issued.
+struct ServerTls {
     std::string certificate, key, authorities{};
 };
 
 class Registry {
   public:
-    explicit Registry(const Secure *secure = nullptr);
+    explicit Registry(const ServerTls *tls = nullptr);
     ~Registry();
 
     std::string address() const;
     std::int64_t put(const std::string &key, const std::string &value);
     std::int64_t remove(const std::string &key);
-    void write(const std::vector<Word> &words); // one revision for all of them, as a transaction does
-    void compact(std::int64_t rev);
+    void write(const std::vector<KeyChange> &changes); // in one revision, as a transaction does
+    void compact(std::int64_t revision);
     std::int64_t revision() const;
-    std::map<std::string, std::string> held() const;
+    std::map<std::string, std::string> entries() const;
 
     // Faults.
-    void drop(); // every stream is cancelled
-    void stop(); // no connection any more; open ones end
-    void start(); // at the same address
-    void mute(bool on); // watches stay open and tell nothing, not even progress
-    void pass_over(int words); // the next words are told to nobody, though progress goes on
-    void fragment(std::size_t events,
-                  int break_after); // batches in pieces; the stream ends after so many (-1: never)
-    void lag(std::int64_t revisions); // reads and new watches stand so far back
-    void forget(); // data lost: empty, and at a low revision
-    void on_page(std::function<void()> act); // called before each page but the first is made
+    void cancel_streams();
+    void stop(); // stops listening and ends the open connections
+    void start(); // listens again at the same address
+    void mute(bool on); // while on, watches stay open and send nothing, not even progress
+    void skip_events(int revisions); // watches leave out the next revisions, but still report progress
+    // Splits batches into fragments of `events` each, and ends the stream after the first `break_after`
+    // fragments and one more (-1: never).
+    void fragment(std::size_t events, int break_after);
+    void lag(std::int64_t revisions); // reads and new watches are this many revisions behind
+    void lose_data(); // becomes empty, at a low revision
+    void before_page(std::function<void()> callback); // called before each page after the first is built
 
-    void run_out(); // every lease has run out: their keys are gone
-    int leases() const; // that stand
+    void expire_leases(); // ends every lease and deletes its keys
+    int leases() const; // that are valid
     int renewals() const;
-    int reads() const; // pages
-    std::vector<std::chrono::steady_clock::time_point> take_read_times(); // of pages, since the last call
+    int reads() const; // pages read
+    std::vector<std::chrono::steady_clock::time_point> take_read_times(); // times of the page reads since the
+                                                                          // last call
     int watches() const;
-    std::vector<Told> told() const; // pages and events, since it began; at most a million
+    std::vector<SentEvent> sent_events() const; // by pages and watches since the start, at most a million
 
     struct State;
 
--- a/standins/town/town.cpp
+++ b/standins/town/town.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-std::filesystem::path make_folder() {
+std::filesystem::path create_folder() {
     static std::atomic<int> count{0};
     const auto path = std::filesystem::temp_directory_path() /
                       ("pineridge-" + std::to_string(::getpid()) + "-" + std::to_string(++count));
@@ -22,70 +22,72 @@
 
 } // namespace
 
-std::int64_t Town::now() {
+std::int64_t LocalCluster::now() {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
                std::chrono::system_clock::now().time_since_epoch())
         .count();
 }
 
-Town::Town(asio::io_context &loop, const Plot &its_plot, std::ostream *record)
-    : io(loop), plot(its_plot), folder(make_folder()), desk(loop, now, record, its_plot.desk_port),
+LocalCluster::LocalCluster(asio::io_context &loop, const ClusterOptions &its_options, std::ostream *record)
+    : io(loop), options(its_options), folder(create_folder()), desk(loop, now, record, its_options.desk_port),
       discovery(loop,
                 [this] {
                     json all = json::array();
                     for (const Host &one : hosts) all.push_back(one.entry());
                     return all;
                 }),
-      platform(loop, its_plot.caps), place(loop), listen(place.endpoint()), clients(loop, listen, now) {}
+      platform(loop, its_options.caps), reserved_port(loop), listen(reserved_port.endpoint()),
+      clients(loop, listen, now) {}
 
-Town::~Town() { std::filesystem::remove_all(folder); }
+LocalCluster::~LocalCluster() { std::filesystem::remove_all(folder); }
 
-Host &Town::host(const std::string &id, const std::string &zone, int build, int fails_of_100) {
-    Host &one = hosts.emplace_back(io, id, zone, build, now, picks);
-    one.fails_of_100 = fails_of_100;
-    return one;
+Host &LocalCluster::host(const std::string &id, const std::string &zone, int build, int failure_percent) {
+    Host &added = hosts.emplace_back(io, id, zone, build, now, picks);
+    added.failure_percent = failure_percent;
+    return added;
 }
 
-std::string Town::settings_text() const {
+std::string LocalCluster::settings_text() const {
     std::ostringstream text;
-    text << R"(<pineridge xmlns="urn:pineridge:settings:1"><release service="booking" zone=")" << plot.zone
+    text << R"(<pineridge xmlns="urn:pineridge:settings:1"><release service="booking" zone=")" << options.zone
          << R"("><desk address=")" << desk.address() << R"("/><zones>)";
-    for (const std::string &zone : plot.zones) text << R"(<zone name=")" << zone << R"("/>)";
+    for (const std::string &zone : options.zones) text << R"(<zone name=")" << zone << R"("/>)";
     text << "</zones><customers>";
-    for (const std::string &customer : plot.customers) text << R"(<customer name=")" << customer << R"("/>)";
+    for (const std::string &customer : options.customers)
+        text << R"(<customer name=")" << customer << R"("/>)";
     text << "</customers><stages>";
-    std::istringstream shares(plot.stages);
+    std::istringstream shares(options.stages);
     for (std::string share; shares >> share;) text << R"(<stage share=")" << share << R"("/>)";
-    text << "</stages>" << plot.order << plot.evidence << plot.extra << "</release></pineridge>";
+    text << "</stages>" << options.order << options.evidence << options.extra << "</release></pineridge>";
     return text.str();
 }
 
-std::string Town::config_text() const {
-    const json look{{"name", "lookup"}, {"repeat", "read_like"}, {"group", "all"},
-                    {"aim", 0.5},       {"window", 1},           {"worth", 1},
-                    {"stream", false}};
-    json book = look;
+std::string LocalCluster::config_text() const {
+    const json lookup{{"name", "lookup"}, {"repeat", "read_like"}, {"group", "all"},
+                      {"aim", 0.5},       {"window", 1},           {"worth", 1},
+                      {"stream", false}};
+    json book = lookup;
     book["name"] = "do-book", book["repeat"] = "non_idempotent";
     json tenants = json::array();
-    for (const std::string &customer : plot.customers) tenants.push_back({{"name", customer}});
-    json places = json::array();
-    for (std::size_t i = 0; i < plot.caps.size(); ++i) places.push_back(1);
-    std::ostringstream at;
-    at << listen;
+    for (const std::string &customer : options.customers) tenants.push_back({{"name", customer}});
+    json shares = json::array();
+    for (std::size_t i = 0; i < options.caps.size(); ++i) shares.push_back(1);
+    std::ostringstream listen_address;
+    listen_address << listen;
     return json{{"name", "n1"},
-                {"listen", at.str()},
+                {"listen", listen_address.str()},
                 {"discovery", discovery.address()},
                 {"seed", "51ab"},
-                {"limits", {{"cores", 1}, {"memory_mb", 64}, {"sockets", plot.sockets}}},
-                {"deployer", {{"address", platform.address()}, {"news", platform.news()}}},
-                {"known", discovery.whole()},
+                {"limits", {{"cores", 1}, {"memory_mb", 64}, {"sockets", options.router_descriptors}}},
+                {"deployer", {{"address", platform.address()}, {"news", platform.state()}}},
+                {"known", discovery.full_list()},
                 {"settings",
                  {{"instances", 1},
                   {"membershipMode", "ask"},
                   {"valueBy", "request"},
-                  {"classes", {look, book}},
+                  {"classes", {lookup, book}},
                   {"tenants", tenants},
-                  {"zones", plot.zones},
+                  {"zones", options.zones},
                   {"kinds", {"m"}},
                   {"report", {{"fields", {"inflight"}}}},
                   {"rules", {{"warmUp", 1}, {"overloadFor", 2}, {"coldShare", 0.4}, {"tipMultiple", 3}}},
@@ -111,32 +113,32 @@
                     {"window", 3},
                     {"voteTtl", 6},
                     {"answerWait", 0.5},
-                    {"rings", places},
-                    {"stageCap", plot.caps}}}}}}
+                    {"rings", shares},
+                    {"stageCap", options.caps}}}}}}
         .dump();
 }
 
-void Town::write_files() {
+void LocalCluster::write_files() {
     std::ofstream(folder / "config.json") << config_text();
     std::ofstream(folder / "settings.xml") << settings_text();
 }
 
-void Town::flow(const std::string &customer, double per_second) {
+void LocalCluster::send_steadily(const std::string &customer, double per_second) {
     asio::co_spawn(io, run(customer, per_second), asio::detached);
 }
 
-asio::awaitable<void> Town::run(std::string customer, double per_second) {
+asio::awaitable<void> LocalCluster::run(std::string customer, double per_second) {
     asio::steady_timer timer(io);
-    std::minstd_rand chance(static_cast<unsigned>(std::hash<std::string>{}(customer)));
+    std::minstd_rand random(static_cast<unsigned>(std::hash<std::string>{}(customer)));
     std::exponential_distribution<double> gap(per_second);
     auto next = std::chrono::steady_clock::now();
-    while (flowing_) {
-        next += std::chrono::microseconds(static_cast<long>(gap(chance) * 1e6));
+    while (sending_) {
+        next += std::chrono::microseconds(static_cast<long>(gap(random) * 1e6));
         timer.expires_at(next);
         co_await timer.async_wait(as_tuple(use_awaitable));
-        if (!flowing_) break;
-        const unsigned drawn = static_cast<unsigned>(chance());
-        clients.ask(customer, drawn % 5 == 0 ? "do-book" : "lookup", "k" + std::to_string(drawn % 997));
+        if (!sending_) break;
+        const unsigned drawn = static_cast<unsigned>(random());
+        clients.send_rpc(customer, drawn % 5 == 0 ? "do-book" : "lookup", "k" + std::to_string(drawn % 997));
     }
 }
 
--- a/standins/town/town.hpp
+++ b/standins/town/town.hpp
@@ -1,5 +1,5 @@
-// All that stands round one router on loopback: discovery, platform, desk, hosts and clients, and the two
-// files that the router is told by. The demo starts the router as a process, tests run it on the same loop.
+// Everything around one router on loopback: discovery, platform, desk, hosts and clients, and the router's
+// two configuration files. The demo starts the router as a process; tests may run it on the same io_context.
 #pragma once
 
 #include "settings/release.hpp"
@@ -16,49 +16,49 @@
 
 namespace pineridge::standins {
 
-// The same fields as in our settings; the desk's address is the town's.
-struct Plot {
+// The fields have the meaning of the settings of the same names; the desk's address comes from the cluster.
+struct ClusterOptions {
     std::string zone = "north";
     std::vector<std::string> zones{"north", "south"}, customers{"acme", "bern", "cord"};
     std::string stages = "0.05 0.25 1"; // shares
     std::string order = R"(<order by="zones"/>)";
-    std::string extra{}; // freezes and dependencies
+    std::string extra{}; // elements for freezes and dependencies
     std::string evidence = R"(<evidence picks="5" silent-after-s="60" renew-s="0.3"/>)";
-    std::vector<double> caps{1, 1}; // of the platform, by stage
+    std::vector<double> caps{1, 1}; // the platform's, by stage
     unsigned short desk_port = 0;
-    int sockets = 512; // descriptors that the router is told it has
+    int router_descriptors = 512; // configured in the router as its descriptor limit
 };
 
-class Town {
+class LocalCluster {
   public:
-    Town(asio::io_context &io, const Plot &plot, std::ostream *record = nullptr);
-    ~Town();
-    Town(const Town &) = delete;
+    LocalCluster(asio::io_context &io, const ClusterOptions &options, std::ostream *record = nullptr);
+    ~LocalCluster();
+    LocalCluster(const LocalCluster &) = delete;
 
-    Host &host(const std::string &id, const std::string &zone, int build, int fails_of_100 = 0);
-    void write_files(); // once the hosts stand
+    Host &host(const std::string &id, const std::string &zone, int build, int failure_percent = 0);
+    void write_files(); // call it after adding the hosts
     std::string settings_text() const;
     std::string config_text() const;
-    // A steady stream of RPCs, so many a second of each customer, until told to stop.
-    void flow(const std::string &customer, double per_second);
-    void stop() { flowing_ = false; }
-    static std::int64_t now();
+    // Sends RPCs of one customer at a mean rate per second, with random gaps, until stop().
+    void send_steadily(const std::string &customer, double per_second);
+    void stop() { sending_ = false; }
+    static std::int64_t now(); // ms since the Unix epoch
 
     asio::io_context &io;
-    const Plot plot;
+    const ClusterOptions options;
     const std::filesystem::path folder;
     Picks picks;
     std::list<Host> hosts;
     Desk desk;
     Discovery discovery;
     Platform platform;
-    const Place place; // the router's, from before it listens
+    const ReservedPort reserved_port; // the router's, reserved before it listens
     asio::ip::tcp::endpoint listen;
     Clients clients;
 
   private:
     asio::awaitable<void> run(std::string customer, double per_second);
-    bool flowing_ = true;
+    bool sending_ = true;
 };
 
 } // namespace pineridge::standins
--- a/tests/admission/command_test.cpp
+++ b/tests/admission/command_test.cpp
@@ -28,23 +28,24 @@
 <crowd name="desks" reserve="40" per-network="7"><network address="10.0.0.0/8"/><network address="2001:db8::/32"/></crowd>
 <front address="10.9.9.9"/>
 <quotas><quota customer="acme" per-s="100"/></quotas><retries share="0.1"/><lateness aim-s="0.05"/>)");
-    Ran result = call({"admission", "show", "--settings", file});
-    assert(result.status == 0 && has(result, "enforced, networks 2, fronts 1") &&
-           has(result, "crowd desks: weight 1, reserve 40") &&
-           has(result, "quota of customer acme, all methods: 100") && has(result, "retries: 10%") &&
-           has(result, "over 50 ms"));
+    ProgramResult result = call({"admission", "show", "--settings", file});
+    assert(result.status == 0 && output_contains(result, "enforced, networks 2, fronts 1") &&
+           output_contains(result, "crowd desks: weight 1, reserve 40") &&
+           output_contains(result, "quota of customer acme, all methods: 100") &&
+           output_contains(result, "retries: 10%") && output_contains(result, "over 50 ms"));
     result = call({"admission", "explain", "--settings", file, "10.1.2.3"});
-    assert(result.status == 0 && has(result, "crowd desks: by network 10.0.0.0/8") &&
-           has(result, "connections of its network 10.1.2.0/24: 0 open, at most 7") &&
-           result.said.find("a front, by") == std::string::npos);
+    assert(result.status == 0 && output_contains(result, "crowd desks: by network 10.0.0.0/8") &&
+           output_contains(result, "connections of its network 10.1.2.0/24: 0 open, at most 7") &&
+           result.output.find("a front, by") == std::string::npos);
     result = call({"admission", "explain", "--settings", file, "::ffff:10.9.9.9"});
-    assert(result.status == 0 && has(result, "a front, by 10.9.9.9/32"));
+    assert(result.status == 0 && output_contains(result, "a front, by 10.9.9.9/32"));
     result = call({"admission", "explain", "--settings", file, "9.9.9.9"});
-    assert(result.status == 0 && has(result, "crowd others: in no network") && has(result, "at most 9"));
+    assert(result.status == 0 && output_contains(result, "crowd others: in no network") &&
+           output_contains(result, "at most 9"));
     result = call({"admission", "explain", "--settings", file, "nine"});
-    assert(result.status == 2 && has(result, "address: not one of IPv4 or IPv6: nine"));
+    assert(result.status == 2 && output_contains(result, "address: not one of IPv4 or IPv6: nine"));
     result = call({"check", "--settings", file});
-    assert(result.status == 0 && has(result, "crowds 2, networks 2"));
+    assert(result.status == 0 && output_contains(result, "crowds 2, networks 2"));
 
     // Messages name the file, the line and the key at fault.
     const std::pair<const char *, const char *> invalid_rules[] = {
@@ -66,7 +67,7 @@
     for (const auto &[rules, message] : invalid_rules) {
         write_settings(rules);
         result = call({"check", "--settings", file});
-        assert(result.status == 2 && has(result, message));
+        assert(result.status == 2 && output_contains(result, message));
     }
     std::filesystem::remove_all(folder);
 }
--- a/tests/admission/flood_test.cpp
+++ b/tests/admission/flood_test.cpp
@@ -13,8 +13,8 @@
 
 using namespace pineridge;
 using namespace pineridge::test;
+using standins::Behavior;
 using standins::Flood;
-using standins::Manner;
 
 namespace {
 
@@ -33,11 +33,11 @@
         router.launch(io, town.folder);
         until([&] { return router.has_logged("serving"); });
         // The module may push back too, which is not under test: clients retry.
-        town.clients.lose_patience(6);
+        town.clients.use_client_timeouts(6);
     }
     ~Fixture() { town.stop(); }
-    static standins::Plot plot_with(int descriptors) {
-        standins::Plot plot;
+    static standins::ClusterOptions plot_with(int descriptors) {
+        standins::ClusterOptions plot;
         plot.sockets = descriptors;
         return plot;
     }
@@ -53,15 +53,15 @@
     }
     // Sends RPCs of configured clients, at most sixteen at a time, and counts their answers.
     void send_rpcs(int count) {
-        const std::size_t already_sent = town.clients.asked().size();
+        const std::size_t already_sent = town.clients.rpcs().size();
         for (int i = 0; i < count; ++i) {
-            until([&] { return town.clients.open() < 16; });
-            town.clients.ask("acme", i % 5 == 0 ? "do-book" : "lookup", "k" + std::to_string(i), 5000);
+            until([&] { return town.clients.open_rpcs() < 16; });
+            town.clients.send_rpc("acme", i % 5 == 0 ? "do-book" : "lookup", "k" + std::to_string(i), 5000);
         }
-        until([&] { return town.clients.open() == 0; });
+        until([&] { return town.clients.open_rpcs() == 0; });
         answered_ = served_ = 0;
-        for (std::size_t i = already_sent; i < town.clients.asked().size(); ++i) {
-            const auto &row = town.clients.asked()[i];
+        for (std::size_t i = already_sent; i < town.clients.rpcs().size(); ++i) {
+            const auto &row = town.clients.rpcs()[i];
             ++answered_;
             served_ += row.answer == "served";
             if (row.answer == "lost" || row.answer == "refused" || row.answer.empty()) {
@@ -73,7 +73,7 @@
     double served_share() const { return static_cast<double>(served_) / answered_; }
 
     boost::asio::io_context io;
-    standins::Town town;
+    standins::LocalCluster town;
     RunningRouter router;
     int answered_ = 0, served_ = 0;
 };
@@ -84,16 +84,17 @@
     Fixture fixture;
     for (const int addresses : {1, 200}) {
         Flood flood(fixture.io, fixture.town.listen,
-                    {Manner::asks, 0x7f070001, addresses, 10, 0, "", kDrip, kPause});
-        flood.begin();
-        fixture.until([&] { return flood.seen().opened > 500; });
+                    {Behavior::send_one_rpc, 0x7f070001, addresses, 10, 0, "", kDrip, kPause});
+        flood.start();
+        fixture.until([&] { return flood.results().opened > 500; });
         fixture.send_rpcs(400);
         if (fixture.served_share() < 0.95)
             std::cerr << fixture.served_ << " of " << fixture.answered_ << "\n"
                       << fixture.router.log_text.str();
         assert(fixture.served_share() >= 0.95);
-        fixture.until([&] { return flood.seen().pushed_back > 50; });
-        assert(flood.seen().least_back >= 200 && flood.seen().most_back > flood.seen().least_back);
+        fixture.until([&] { return flood.results().pushed_back > 50; });
+        assert(flood.results().min_retry_ms >= 200 &&
+               flood.results().max_retry_ms > flood.results().min_retry_ms);
         flood.stop();
     }
 }
@@ -101,12 +102,14 @@
 // All configured clients reconnect at once while unknown clients hold every connection they may.
 void configured_clients_reconnect_under_a_flood() {
     Fixture fixture;
-    Flood flood(fixture.io, fixture.town.listen, {Manner::asks, 0x7f070001, 200, 10, 0, "", kDrip, kPause});
-    flood.begin();
-    fixture.until([&] { return flood.seen().pushed_back > 100; }); // no more unknown clients are admitted
-    for (int i = 0; i < 60; ++i) fixture.town.clients.ask("acme", "lookup", "k" + std::to_string(i), 5000);
-    fixture.until([&] { return fixture.town.clients.open() == 0; });
-    for (const auto &row : fixture.town.clients.asked()) assert(row.answer == "served");
+    Flood flood(fixture.io, fixture.town.listen,
+                {Behavior::send_one_rpc, 0x7f070001, 200, 10, 0, "", kDrip, kPause});
+    flood.start();
+    fixture.until([&] { return flood.results().pushed_back > 100; }); // no more unknown clients are admitted
+    for (int i = 0; i < 60; ++i)
+        fixture.town.clients.send_rpc("acme", "lookup", "k" + std::to_string(i), 5000);
+    fixture.until([&] { return fixture.town.clients.open_rpcs() == 0; });
+    for (const auto &row : fixture.town.clients.rpcs()) assert(row.answer == "served");
     flood.stop();
 }
 
@@ -118,9 +121,10 @@
     router_config.reload_settings = [path = (fixture.town.folder / "settings.xml").string()] {
         return read_settings_file(path);
     };
-    Flood flood(fixture.io, fixture.town.listen, {Manner::asks, 0x7f070001, 200, 10, 0, "", kDrip, kPause});
-    flood.begin();
-    fixture.until([&] { return flood.seen().opened > 300; });
+    Flood flood(fixture.io, fixture.town.listen,
+                {Behavior::send_one_rpc, 0x7f070001, 200, 10, 0, "", kDrip, kPause});
+    flood.start();
+    fixture.until([&] { return flood.results().opened > 300; });
     fixture.write_settings(
         "<others most=\"60\"/>\n<crowd name=\"desks\"><network address=\"127.0.0.1/8\"/></crowd>");
     std::raise(SIGHUP);
@@ -142,8 +146,8 @@
         networks + "</crowd>");
     std::raise(SIGHUP);
     fixture.until([&] { return fixture.router.has_logged("settings read again, crowds 2, networks 20001"); });
-    const auto pushed_back_before = flood.seen().pushed_back;
-    fixture.until([&] { return flood.seen().pushed_back > pushed_back_before + 50; });
+    const auto pushed_back_before = flood.results().pushed_back;
+    fixture.until([&] { return flood.results().pushed_back > pushed_back_before + 50; });
     fixture.send_rpcs(200);
     assert(fixture.served_share() >= 0.95);
     flood.stop();
@@ -153,29 +157,30 @@
 // other address is an error.
 void clients_behind_a_proxy_are_distinguished() {
     Fixture fixture(std::string(kRules) + R"(<front address="127.8.0.0/16"/>)");
-    Flood flood(fixture.io, fixture.town.listen,
-                {Manner::asks, 0x7f080001, 1, 8, 0, "PROXY TCP4 9.9.9.9 1.1.1.1 5 6\r\n", kDrip, kPause});
-    flood.begin();
-    fixture.until([&] { return flood.seen().pushed_back > 100 && flood.seen().served > 0; });
+    Flood flood(
+        fixture.io, fixture.town.listen,
+        {Behavior::send_one_rpc, 0x7f080001, 1, 8, 0, "PROXY TCP4 9.9.9.9 1.1.1.1 5 6\r\n", kDrip, kPause});
+    flood.start();
+    fixture.until([&] { return flood.results().pushed_back > 100 && flood.results().served > 0; });
     Flood configured(
         fixture.io, fixture.town.listen,
-        {Manner::asks, 0x7f080001, 1, 1, 0, "PROXY TCP4 127.0.0.1 1.1.1.1 5 6\r\n", kDrip, kPause});
-    configured.begin();
-    fixture.until([&] { return configured.seen().served >= 10; });
-    assert(configured.seen().pushed_back == 0);
+        {Behavior::send_one_rpc, 0x7f080001, 1, 1, 0, "PROXY TCP4 127.0.0.1 1.1.1.1 5 6\r\n", kDrip, kPause});
+    configured.start();
+    fixture.until([&] { return configured.results().served >= 10; });
+    assert(configured.results().pushed_back == 0);
     configured.stop();
     flood.stop();
     Flood untrusted_proxy(
         fixture.io, fixture.town.listen,
-        {Manner::asks, 0x7f090001, 1, 1, 0, "PROXY TCP4 127.0.0.1 1.1.1.1 5 6\r\n", kDrip, kPause});
-    untrusted_proxy.begin();
-    fixture.until([&] { return untrusted_proxy.seen().errors >= 3; });
-    assert(untrusted_proxy.seen().served == 0);
+        {Behavior::send_one_rpc, 0x7f090001, 1, 1, 0, "PROXY TCP4 127.0.0.1 1.1.1.1 5 6\r\n", kDrip, kPause});
+    untrusted_proxy.start();
+    fixture.until([&] { return untrusted_proxy.results().errors >= 3; });
+    assert(untrusted_proxy.results().served == 0);
     untrusted_proxy.stop();
     Flood malformed(fixture.io, fixture.town.listen,
-                    {Manner::asks, 0x7f080001, 1, 1, 0, "PROXY TCP9 \r\n", kDrip, kPause});
-    malformed.begin();
-    fixture.until([&] { return malformed.seen().ended >= 3; });
+                    {Behavior::send_one_rpc, 0x7f080001, 1, 1, 0, "PROXY TCP9 \r\n", kDrip, kPause});
+    malformed.start();
+    fixture.until([&] { return malformed.results().ended >= 3; });
     assert(fixture.router.has_logged("invalid PROXY header: version 1: neither TCP4"));
     malformed.stop();
 }
@@ -187,14 +192,14 @@
 <slow first-byte-s="0.5" command-s="0.5" unread-s="1"/>)");
     using std::chrono::milliseconds;
     Flood slow_writers(fixture.io, fixture.town.listen,
-                       {Manner::drips, 0x7f070001, 20, 1, 30, "", milliseconds(100)});
-    Flood half_closers(fixture.io, fixture.town.listen, {Manner::half_closes, 0x7f070201, 10, 1, 10});
-    slow_writers.begin();
-    half_closers.begin();
+                       {Behavior::send_slowly, 0x7f070001, 20, 1, 30, "", milliseconds(100)});
+    Flood half_closers(fixture.io, fixture.town.listen, {Behavior::half_close, 0x7f070201, 10, 1, 10});
+    slow_writers.start();
+    half_closers.start();
     fixture.send_rpcs(60);
     assert(fixture.served_share() >= 0.95);
-    fixture.until([&] { return slow_writers.seen().ended >= 30 && half_closers.seen().ended >= 10; });
-    assert(slow_writers.seen().served == 0); // a command of 100 bytes takes them longer than command-s
+    fixture.until([&] { return slow_writers.results().ended >= 30 && half_closers.results().ended >= 10; });
+    assert(slow_writers.results().served == 0); // a command of 100 bytes takes them longer than command-s
     slow_writers.stop();
     half_closers.stop();
 }
@@ -204,15 +209,17 @@
     Fixture fixture(
         R"(<others per-address="10" most="30"/><crowd name="desks" reserve="18" weight="3"><network address="127.0.0.1/32"/></crowd>)",
         128);
-    for (auto &host : fixture.town.hosts) host.takes = std::chrono::milliseconds(20);
-    Flood flood(fixture.io, fixture.town.listen, {Manner::asks, 0x7f070001, 200, 10, 0, "", kDrip, kPause});
-    flood.begin();
-    fixture.until([&] { return flood.seen().pushed_back > 100; });
+    for (auto &host : fixture.town.hosts) host.answer_delay = std::chrono::milliseconds(20);
+    Flood flood(fixture.io, fixture.town.listen,
+                {Behavior::send_one_rpc, 0x7f070001, 200, 10, 0, "", kDrip, kPause});
+    flood.start();
+    fixture.until([&] { return flood.results().pushed_back > 100; });
     auto &drained = fixture.town.hosts.front();
-    for (int i = 0; i < 40; ++i) fixture.town.clients.ask("acme", "lookup", "k" + std::to_string(i), 5000);
-    fixture.until([&] { return fixture.town.clients.open() < 30; });
+    for (int i = 0; i < 40; ++i)
+        fixture.town.clients.send_rpc("acme", "lookup", "k" + std::to_string(i), 5000);
+    fixture.until([&] { return fixture.town.clients.open_rpcs() < 30; });
     drained.state = "terminating";
-    fixture.town.discovery.changed();
+    fixture.town.discovery.notify_watches();
     fixture.send_rpcs(200);
     assert(fixture.served_share() >= 0.95);
     assert(!fixture.router.has_logged("no descriptor"));
@@ -223,17 +230,17 @@
 // buffers are closed, none that waits for an answer, and the memory becomes available again.
 void memory_of_client_buffers_is_reclaimed() {
     Fixture fixture(R"(<others/><crowd name="desks" reserve="20"><network address="127.0.0.1/32"/></crowd>)");
-    Flood flood(fixture.io, fixture.town.listen, {Manner::swells, 0x7f070001, 100, 1, 100});
-    flood.begin();
+    Flood flood(fixture.io, fixture.town.listen, {Behavior::send_huge_command, 0x7f070001, 100, 1, 100});
+    flood.start();
     fixture.until([&] {
         return fixture.router.has_logged("client buffers over the memory limit, connections closed");
     });
     fixture.send_rpcs(60);
-    assert(fixture.served_share() >= 0.95 && flood.seen().ended > 0 && flood.seen().ended < 100);
+    assert(fixture.served_share() >= 0.95 && flood.results().ended > 0 && flood.results().ended < 100);
     flood.stop();
-    const auto closed = flood.seen().ended;
+    const auto closed = flood.results().ended;
     fixture.send_rpcs(60);
-    assert(fixture.served_share() >= 0.95 && flood.seen().ended == closed);
+    assert(fixture.served_share() >= 0.95 && flood.results().ended == closed);
 }
 
 // In observe mode every connection is admitted, and the log says what would have been refused.
@@ -245,12 +252,12 @@
     };
     std::raise(SIGHUP);
     fixture.until([&] { return fixture.router.has_logged("settings read again"); });
-    Flood flood(fixture.io, fixture.town.listen, {Manner::asks, 0x7f070001, 1, 1, 20});
-    flood.begin();
+    Flood flood(fixture.io, fixture.town.listen, {Behavior::send_one_rpc, 0x7f070001, 1, 1, 20});
+    flood.start();
     fixture.until([&] {
-        return flood.seen().served > 20 && fixture.router.has_logged("would have refused connections");
+        return flood.results().served > 20 && fixture.router.has_logged("would have refused connections");
     });
-    assert(flood.seen().pushed_back == 0);
+    assert(flood.results().pushed_back == 0);
     flood.stop();
 }
 
@@ -258,11 +265,11 @@
 void rpcs_over_a_quota_are_not_picked() {
     Fixture fixture(
         R"(<others/><quotas><quota customer="acme" method="lookup" per-s="20" burst="20"/></quotas>)");
-    fixture.town.clients.lose_patience(0);
+    fixture.town.clients.use_client_timeouts(0);
     fixture.send_rpcs(200);
     int lookups = 0;
     int bookings = 0;
-    for (const auto &row : fixture.town.clients.asked())
+    for (const auto &row : fixture.town.clients.rpcs())
         if (row.answer == "served") ++(row.method == "lookup" ? lookups : bookings);
     assert(bookings == 40);
     assert(lookups >= 20 && lookups < 120);
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -30,19 +30,19 @@
 // One router process, its two hosts "stays" and "drains", and clients that send RPCs at a steady rate.
 struct Scenario {
     Scenario(asio::io_context &loop, std::string scenario_name, std::string program, int drains_build)
-        : io(loop), name(std::move(scenario_name)), program_(std::move(program)), town(loop, Plot{}),
-          discovery(loop, Town::now) {
+        : io(loop), name(std::move(scenario_name)), program_(std::move(program)),
+          town(loop, ClusterOptions{}), discovery(loop, LocalCluster::now) {
         town.host("stays", "north", kReleasedBuild);
         town.host("drains", "north", drains_build);
         town.platform.build = kReleasedBuild;
-        for (const Host &host : town.hosts) discovery.list(host.entry());
+        for (const Host &host : town.hosts) discovery.set_entry(host.entry());
         write_config();
     }
 
     void write_config() {
         nlohmann::json config = nlohmann::json::parse(town.config_text());
         config["discovery"] = discovery.address();
-        config["known"] = discovery.whole();
+        config["known"] = discovery.full_list();
         config["settings"]["instances"] = kFleetInstances;
         config["settings"]["rules"]["askEvery"] = 10;
         config["settings"]["rules"]["drainGrace"] = 0.25;
@@ -63,7 +63,7 @@
         for (Host &host : town.hosts)
             if (host.id == "drains") {
                 host.state = "terminating";
-                discovery.list(host.entry());
+                discovery.set_entry(host.entry());
             }
         return discovery.changes.back().at;
     }
@@ -81,21 +81,21 @@
     // Starts the router; returns once it serves and its watch on discovery is open.
     asio::awaitable<void> start_service() {
         start();
-        town.flow("acme", kRpcsPerSecond);
-        expect(co_await wait_until([&] { return discovery.standing() > 0; }),
+        town.send_steadily("acme", kRpcsPerSecond);
+        expect(co_await wait_until([&] { return discovery.open_watches() > 0; }),
                "no watch on discovery was opened");
         expect(co_await wait_until([&] { return served_since(0); }), "no RPC was sent after the start");
         // By then the watch no longer counts as a call that may be refused at once.
-        co_await wait_until_time(Town::now() + 400);
+        co_await wait_until_time(LocalCluster::now() + 400);
     }
     asio::awaitable<void> wait_until_time(std::int64_t at) {
-        co_await wait_until([at] { return Town::now() >= at; });
+        co_await wait_until([at] { return LocalCluster::now() >= at; });
     }
 
     std::size_t count_picks(const std::string &host, std::int64_t from, std::int64_t to) const {
         std::size_t count = 0;
-        for (const PickRow &row : town.picks)
-            count += row.host == host && row.begun >= from && row.begun < to;
+        for (const PickRecord &row : town.picks)
+            count += row.host == host && row.first_byte_at >= from && row.first_byte_at < to;
         return count;
     }
     bool served_since(std::int64_t at) const { return count_picks("stays", at, INT64_MAX) > 0; }
@@ -108,10 +108,10 @@
     void expect_none_sent_to_drained(std::int64_t received_at) {
         std::size_t late = 0;
         std::int64_t max_delay = 0;
-        for (const PickRow &row : town.picks) {
-            if (row.host != "drains" || row.begun <= received_at + kDrainGraceMs) continue;
+        for (const PickRecord &row : town.picks) {
+            if (row.host != "drains" || row.first_byte_at <= received_at + kDrainGraceMs) continue;
             ++late;
-            max_delay = std::max(max_delay, row.begun - received_at);
+            max_delay = std::max(max_delay, row.first_byte_at - received_at);
         }
         expect(late == 0, std::to_string(late) + " RPCs sent to a drained host, the last " +
                               std::to_string(max_delay) + " ms after its drain counts as received");
@@ -119,14 +119,14 @@
     // Checks that each RPC that the router accepted has been answered.
     void expect_all_answered() {
         std::size_t lost = 0;
-        for (const Asked &asked : town.clients.asked()) lost += asked.answer == "lost";
+        for (const RpcRecord &asked : town.clients.rpcs()) lost += asked.answer == "lost";
         expect(lost == 0, std::to_string(lost) + " RPCs without an answer");
     }
 
     asio::io_context &io;
     const std::string name;
     const std::string program_; // path of the router
-    Town town;
+    LocalCluster town;
     FaultyDiscovery discovery;
     std::optional<Program> router;
     bool failed = false;
@@ -138,20 +138,20 @@
 asio::awaitable<void> restart_with_an_old_list(Scenario &scenario, Mode mode) {
     const std::int64_t received_at = scenario.drain() + kReceivedAfterMs;
     co_await scenario.wait_until_time(received_at + kDrainGraceMs);
-    scenario.town.flow("acme", kRpcsPerSecond);
+    scenario.town.send_steadily("acme", kRpcsPerSecond);
     scenario.discovery.set(mode);
     for (int start = 0; start < 2; ++start) {
         scenario.start();
         const int calls = scenario.discovery.calls;
         co_await scenario.wait_until([&] { return scenario.discovery.calls > calls; });
-        co_await scenario.wait_until_time(Town::now() + 1500);
+        co_await scenario.wait_until_time(LocalCluster::now() + 1500);
         scenario.kill();
     }
     scenario.start();
     const int calls = scenario.discovery.calls;
     co_await scenario.wait_until([&] { return scenario.discovery.calls > calls; });
     scenario.discovery.set(Mode::serving);
-    const std::int64_t back = Town::now();
+    const std::int64_t back = LocalCluster::now();
     scenario.expect(co_await scenario.wait_until([&] { return scenario.served_since(back); }),
                     "no RPC was sent after discovery had returned");
     scenario.expect_none_sent_to_drained(received_at);
@@ -168,7 +168,7 @@
     scenario.expect(scenario.count_picks("stays", drained, drained + 4000) > 0,
                     "no RPC was sent while the lease was valid");
     scenario.discovery.set(Mode::serving);
-    const std::int64_t back = Town::now();
+    const std::int64_t back = LocalCluster::now();
     scenario.expect(co_await scenario.wait_until([&] { return scenario.served_since(back); }),
                     "no RPC was sent after discovery had returned");
     scenario.expect_none_sent_to_drained(drained + kReceivedAfterMs);
@@ -180,10 +180,10 @@
 asio::awaitable<void> refused_after_a_quiet_watch(Scenario &scenario) {
     co_await scenario.start_service();
     scenario.discovery.refuse_after = kQueueWait;
-    scenario.discovery.set(Mode::crowded);
-    scenario.expect(
-        co_await scenario.wait_until([&] { return scenario.discovery.standing() == 0; }, milliseconds(25000)),
-        "the watch did not end");
+    scenario.discovery.set(Mode::refusing_new_calls);
+    scenario.expect(co_await scenario.wait_until([&] { return scenario.discovery.open_watches() == 0; },
+                                                 milliseconds(25000)),
+                    "the watch did not end");
     const std::int64_t drained = scenario.drain();
     co_await scenario.wait_until_time(drained + kReceivedAfterMs + 2500);
     scenario.expect_none_sent_to_drained(drained + kReceivedAfterMs);
@@ -197,7 +197,7 @@
     co_await scenario.start_service();
     scenario.discovery.refuse_after = kQueueWait;
     scenario.discovery.set(Mode::refusing);
-    const std::int64_t down = Town::now();
+    const std::int64_t down = LocalCluster::now();
     co_await scenario.wait_until_time(down + 12000);
     const std::int64_t past_lease = down + kReceivedAfterMs + 500, end = down + 12000;
     const std::size_t served =
@@ -223,12 +223,12 @@
     co_await scenario.start_service();
     scenario.discovery.refuse_after = kQueueWait;
     scenario.discovery.set(Mode::refusing);
-    const std::int64_t down = Town::now();
+    const std::int64_t down = LocalCluster::now();
     co_await scenario.wait_until_time(down + 8000);
     const std::int64_t drained = scenario.drain();
     co_await scenario.wait_until_time(drained + 2 * kReceivedAfterMs);
     scenario.discovery.set(Mode::serving);
-    const std::int64_t back = Town::now();
+    const std::int64_t back = LocalCluster::now();
     scenario.expect(co_await scenario.wait_until([&] { return scenario.served_since(back); }),
                     "no RPC was sent after discovery had returned");
     scenario.expect_none_sent_to_drained(drained + kReceivedAfterMs);
@@ -238,11 +238,11 @@
 // The answer that reports a drain is truncated. The drain counts as received, although the answer is invalid.
 asio::awaitable<void> cut_answer_with_a_drain(Scenario &scenario) {
     co_await scenario.start_service();
-    scenario.discovery.set(Mode::cutting);
+    scenario.discovery.set(Mode::truncating);
     const std::int64_t drained = scenario.drain();
     co_await scenario.wait_until_time(drained + 3000);
     scenario.discovery.set(Mode::serving);
-    const std::int64_t back = Town::now();
+    const std::int64_t back = LocalCluster::now();
     scenario.expect(co_await scenario.wait_until([&] { return scenario.served_since(back); }),
                     "no RPC was sent after discovery had returned");
     scenario.expect_none_sent_to_drained(drained);
@@ -260,7 +260,7 @@
     bool failed = false;
     for (Scenario &scenario : scenarios) {
         scenario.expect(scenario.finished, "did not finish in time");
-        if (scenario.failed) std::cerr << scenario.router->said().substr(0, 6000) << "\n";
+        if (scenario.failed) std::cerr << scenario.router->output().substr(0, 6000) << "\n";
         failed = failed || scenario.failed;
     }
     return failed ? 1 : 0;
--- a/tests/membership/blocking_test.cpp
+++ b/tests/membership/blocking_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace pineridge;
 using namespace pineridge::membership;
-using standins::Blocking;
+using standins::BlockingRegistry;
 
 namespace {
 
@@ -128,7 +128,7 @@
 
 struct BlockingFixture : SourceWorld {
     explicit BlockingFixture(int registries = 1) {
-        for (int i = 0; i < registries; ++i) registries_.push_back(std::make_unique<Blocking>(io));
+        for (int i = 0; i < registries; ++i) registries_.push_back(std::make_unique<BlockingRegistry>(io));
         for (const auto &registry : registries_)
             for (const char *id : {"a", "b", "c", "d"}) registry->put(key(id), host_value("in_service"));
         Plot plot;
@@ -155,10 +155,10 @@
         for (const auto &registry : registries_) count += registry->blocked();
         return count;
     }
-    Blocking &registry(int position = 0) { return *registries_[static_cast<std::size_t>(position)]; }
+    BlockingRegistry &registry(int position = 0) { return *registries_[static_cast<std::size_t>(position)]; }
     static std::string key(const std::string &id) { return "hosts/" + id; }
 
-    std::vector<std::unique_ptr<Blocking>> registries_;
+    std::vector<std::unique_ptr<BlockingRegistry>> registries_;
 };
 
 void drains_and_deletions_change_the_list() {
@@ -184,10 +184,11 @@
     fixture.registry().stop();
     fixture.until([&] { return fixture.said("registry.left"); });
     fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
-    fixture.registry().tear(420); // the answer ends in the middle of its entries
+    fixture.registry().truncate_next_answer(420); // the answer ends in the middle of its entries
     fixture.registry().start();
     fixture.until_list("a-b+c+d+");
-    fixture.registry().spoil("HTTP/1.1 200 OK\r\nX-Consul-Index: 99\r\nContent-Length: 4\r\n\r\n[{]}");
+    fixture.registry().replace_next_answer(
+        "HTTP/1.1 200 OK\r\nX-Consul-Index: 99\r\nContent-Length: 4\r\n\r\n[{]}");
     fixture.registry().put(BlockingFixture::key("b"), host_value("terminating"));
     fixture.until_list("a-b-c+d+");
 }
@@ -204,7 +205,7 @@
 void a_member_without_a_leader_is_replaced_by_another() {
     BlockingFixture fixture(2);
     const int followed = fixture.registry(0).blocked() > 0 ? 0 : 1;
-    fixture.registry(followed).say("X-Consul-KnownLeader", "false");
+    fixture.registry(followed).set_header("X-Consul-KnownLeader", "false");
     for (int i : {0, 1}) fixture.registry(i).put(BlockingFixture::key("a"), host_value("terminating"));
     fixture.until_list("a-b+c+d+");
     assert(fixture.said("registry member has no leader") && fixture.registry(1 - followed).queries() > 0);
@@ -230,7 +231,7 @@
 void hosts_outlast_the_loss_of_the_registry_data() {
     BlockingFixture fixture;
     fixture.registry().stop();
-    fixture.registry().forget();
+    fixture.registry().lose_data();
     fixture.registry().start();
     fixture.until([&] { return fixture.said("doubt: 4 of 4"); });
     assert(fixture.said("counts anew") && fixture.text() == "a+b+c+d+");
--- a/tests/membership/command_test.cpp
+++ b/tests/membership/command_test.cpp
@@ -28,10 +28,10 @@
 int main(int, char **argv) {
     const std::string program = argv[1];
     asio::io_context io;
-    Town town(io, Plot{});
+    LocalCluster town(io, ClusterOptions{});
     const Authority theirs("theirs"), ours("ours");
-    const Papers server = theirs.issue("127.0.0.1"), mine = ours.issue("router");
-    const Secure secure{server.certificate, server.key, ours.certificate()};
+    const CertifiedKey server = theirs.issue("127.0.0.1"), mine = ours.issue("router");
+    const ServerTls secure{server.certificate, server.key, ours.certificate()};
     Registry registry(&secure);
     for (const char *id : {"h1", "h2"}) {
         const Host &host = town.host(id, "north", 1);
@@ -51,52 +51,56 @@
         << R"("/><register key="/routers/n1" life-s="2"/></registry></pineridge>)";
 
     assert(run(io, town.folder, program, {"check", "--settings", path("settings.xml")}).status == 0);
-    const Ran dumped =
+    const ProgramResult dumped =
         run(io, town.folder, program, {"registry", "dump", "--settings", path("settings.xml")});
-    assert(dumped.status == 0 && has(dumped, "revision 3, age ") && has(dumped, "hosts 2, unreadable 0") &&
-           has(dumped, "/hosts/h1 rev 2 ready 127.0.0.1:") && has(dumped, " build 1"));
+    assert(dumped.status == 0 && output_contains(dumped, "revision 3, age ") &&
+           output_contains(dumped, "hosts 2, unreadable 0") &&
+           output_contains(dumped, "/hosts/h1 rev 2 ready 127.0.0.1:") &&
+           output_contains(dumped, " build 1"));
     // No list was kept yet.
     assert(run(io, town.folder, program, {"registry", "diff", "--settings", path("settings.xml")}).status ==
            2);
 
     Program daemon(town.folder, program,
                    {"serve", "--config", path("config.json"), "--settings", path("settings.xml")});
-    until(io, [&] { return registry.held().count("/routers/n1") > 0; });
-    assert(registry.held().at("/routers/n1").find(R"("name":"n1")") != std::string::npos);
-    town.clients.ask("acme", "lookup", "k");
-    until(io, [&] { return town.clients.open() == 0; });
-    assert(town.clients.asked().back().answer == "served");
+    until(io, [&] { return registry.entries().count("/routers/n1") > 0; });
+    assert(registry.entries().at("/routers/n1").find(R"("name":"n1")") != std::string::npos);
+    town.clients.send_rpc("acme", "lookup", "k");
+    until(io, [&] { return town.clients.open_rpcs() == 0; });
+    assert(town.clients.rpcs().back().answer == "served");
     until(io, [&] { return std::filesystem::exists(path("known")); });
-    const Ran same = run(io, town.folder, program, {"registry", "diff", "--settings", path("settings.xml")});
-    assert(same.status == 0 && has(same, "the same"));
+    const ProgramResult same =
+        run(io, town.folder, program, {"registry", "diff", "--settings", path("settings.xml")});
+    assert(same.status == 0 && output_contains(same, "the same"));
     registry.remove("/hosts/h2");
     registry.put("/hosts/odd", "{");
     std::filesystem::copy_file(path("known"), path("kept"));
-    const Ran other = run(io, town.folder, program,
-                          {"registry", "diff", "--settings", path("settings.xml"), "--known", path("kept")});
-    assert(other.status == 1 && has(other, "- /hosts/h2 ") && has(other, "1 differ"));
+    const ProgramResult other =
+        run(io, town.folder, program,
+            {"registry", "diff", "--settings", path("settings.xml"), "--known", path("kept")});
+    assert(other.status == 1 && output_contains(other, "- /hosts/h2 ") && output_contains(other, "1 differ"));
 
     Program watch(town.folder, program,
                   {"registry", "watch", "--settings", path("settings.xml"), "--for-s", "20"});
-    until(io, [&] { return watch.said().find(", hosts 1") != std::string::npos; });
+    until(io, [&] { return watch.output().find(", hosts 1") != std::string::npos; });
     Host &host = town.hosts.front();
     host.state = "terminating";
     registry.put("/hosts/h1", host.entry().dump());
-    until(io, [&] { return watch.said().find("h1 draining build 1") != std::string::npos; });
+    until(io, [&] { return watch.output().find("h1 draining build 1") != std::string::npos; });
     watch.signal(SIGINT);
-    until(io, [&] { return watch.over(); });
+    until(io, [&] { return watch.has_ended(); });
     assert(watch.status() == 0);
 
     daemon.signal(SIGTERM);
-    until(io, [&] { return daemon.over(); });
-    assert(daemon.status() == 0 && registry.held().count("/routers/n1") == 0 && registry.leases() == 0);
-    for (const std::string &said : {daemon.said(), dumped.said})
+    until(io, [&] { return daemon.has_ended(); });
+    assert(daemon.status() == 0 && registry.entries().count("/routers/n1") == 0 && registry.leases() == 0);
+    for (const std::string &said : {daemon.output(), dumped.output})
         assert(said.find("token-of-ours") == std::string::npos && said.find("PRIVATE") == std::string::npos);
-    assert(daemon.said().find("registry.own key=/routers/n1 left=yes") != std::string::npos);
+    assert(daemon.output().find("registry.own key=/routers/n1 left=yes") != std::string::npos);
 
     // A file that is not there is named, and nothing starts.
     std::filesystem::remove(path("ca"));
-    const Ran refused =
+    const ProgramResult refused =
         run(io, town.folder, program, {"registry", "dump", "--settings", path("settings.xml")});
-    assert(refused.status == 2 && has(refused, path("ca") + ": "));
+    assert(refused.status == 2 && output_contains(refused, path("ca") + ": "));
 }
--- a/tests/membership/daemon_test.cpp
+++ b/tests/membership/daemon_test.cpp
@@ -14,7 +14,7 @@
     assert(world.drain(host, nothing, nothing) <= 250);
     // The stream is cancelled just before the word: it is told by the next watch, which begins within 100 ms.
     assert(world.drain(
-               host, [&] { world.registry.drop(); }, nothing) <= 250 + 100);
+               host, [&] { world.registry.cancel_streams(); }, nothing) <= 250 + 100);
     // Compacted while nobody watches: the whole is read.
     assert(world.drain(
                host, [&] { world.registry.stop(); },
@@ -25,12 +25,11 @@
     assert(world.said("is compacted"));
     // Told to nobody: found by the next look, 0.4 s apart.
     assert(world.drain(
-               host, [&] { world.registry.pass_over(1); }, nothing) <= 250 + 500);
+               host, [&] { world.registry.skip_events(1); }, nothing) <= 250 + 500);
     assert(world.said("the watch has missed /hosts/h0"));
     // By the registry's record and the hosts', not the router's word.
-    const auto late = standins::late_picks(world.registry.told(), world.town.picks, 250);
+    const auto late = standins::late_picks(world.registry.sent_events(), world.town.picks, 250);
     for (const std::string &one : late) std::cerr << one << "\n";
     assert(late.empty());
-    for (const auto &row : world.town.clients.asked())
-        assert(row.answer != "lost" && row.answer != "refused");
+    for (const auto &row : world.town.clients.rpcs()) assert(row.answer != "lost" && row.answer != "refused");
 }
--- a/tests/membership/fleet_test.cpp
+++ b/tests/membership/fleet_test.cpp
@@ -13,7 +13,7 @@
 int main() {
     constexpr int kHosts = 1000, kRouters = 30, kChanges = 300, kDrains = 20;
     standins::Registry registry;
-    std::vector<standins::Word> words;
+    std::vector<standins::KeyChange> words;
     for (int i = 0; i < kHosts; ++i)
         words.push_back(
             {0, "/hosts/h" + std::to_string(i), R"({"state":"in_service","started_ms":0})", false});
@@ -30,7 +30,7 @@
     for (int i = 0; i < kChanges; ++i) {
         fleet.ready("h" + std::to_string(i * 7 % 500));
         if (i % (kChanges / kDrains) == 0) fleet.drain("h" + std::to_string(500 + i));
-        if (i == kChanges / 2) registry.drop();
+        if (i == kChanges / 2) registry.cancel_streams();
     }
     std::size_t seen = 0;
     until([&] { return (seen += fleet.take_times().size()) >= std::size_t{kDrains} * kRouters; });
--- a/tests/membership/own_key_test.cpp
+++ b/tests/membership/own_key_test.cpp
@@ -34,7 +34,7 @@
         test::run_until(
             io, held, 20, [&] { return logged.str(); }, place);
     }
-    bool there() const { return registry.held().count(kKey) > 0; }
+    bool there() const { return registry.entries().count(kKey) > 0; }
 
     Registry registry;
     boost::asio::io_context io;
@@ -50,7 +50,7 @@
     World world;
     world.own->begin();
     world.until([&] { return world.there() && world.own->placed(); });
-    assert(world.registry.held().at(kKey) == "here" && world.registry.leases() == 1);
+    assert(world.registry.entries().at(kKey) == "here" && world.registry.leases() == 1);
     world.until([&] { return world.registry.renewals() >= 3; });
     world.own->leave([&] { world.left = true; });
     world.until([&] { return world.left; });
@@ -62,7 +62,7 @@
     World world;
     world.own->begin();
     world.until([&] { return world.there() && world.registry.renewals() >= 1; });
-    world.registry.run_out();
+    world.registry.expire_leases();
     world.until([&] { return world.there(); });
     assert(world.registry.leases() == 1);
 }
@@ -80,7 +80,7 @@
     world.until([&] { return world.registry.renewals() > before; });
     assert(world.registry.revision() == rev && world.registry.leases() == 1); // the key was not written again
     world.registry.stop();
-    world.registry.run_out();
+    world.registry.expire_leases();
     world.registry.start();
     world.until([&] { return world.there(); });
     assert(world.registry.leases() == 1);
--- a/tests/membership/source_test.cpp
+++ b/tests/membership/source_test.cpp
@@ -46,7 +46,7 @@
     void settled(const std::vector<std::string> &unreadable = {}, int at = 0) {
         until([&] {
             std::map<std::string, std::string> held, seen;
-            for (const auto &[key, value] : registry(at).held())
+            for (const auto &[key, value] : registry(at).entries())
                 if (key.rfind("/hosts/", 0) == 0) held[key] = value;
             for (const Record &record : source->view().records()) seen[record.key] = record.value;
             return standins::differences(held, seen, unreadable).empty();
@@ -98,7 +98,7 @@
 void a_read_that_is_compacted_away_begins_anew() {
     World world;
     int act = 0;
-    world.registry().on_page([&] {
+    world.registry().before_page([&] {
         if (act++ > 0) return;
         world.registry().put(World::key("a"), value("terminating"));
         world.registry().compact(world.registry().remove(World::key("d")));
@@ -129,7 +129,7 @@
     world.begin();
     world.until_list("a+b+c+d+");
     world.watched();
-    world.registry().pass_over(1);
+    world.registry().skip_events(1);
     world.registry().put(World::key("a"), value("terminating"));
     world.until_list("a-b+c+d+");
     assert(world.said("the watch has missed /hosts/a"));
@@ -180,7 +180,7 @@
     world.until_list("a+b+c+d+");
     world.watched();
     world.registry().stop();
-    world.registry().forget();
+    world.registry().lose_data();
     world.registry().start();
     world.until([&] { return world.said("doubt: 4 of 4"); });
     assert(world.said("counts anew"));
--- a/tests/membership/tls_test.cpp
+++ b/tests/membership/tls_test.cpp
@@ -14,7 +14,7 @@
 using namespace pineridge;
 using namespace pineridge::membership;
 using standins::Authority;
-using standins::Papers;
+using standins::CertifiedKey;
 
 namespace {
 
@@ -45,7 +45,7 @@
 void files_that_cannot_be_used_are_named() {
     const Folder folder;
     const Authority authority("one");
-    const Papers mine = authority.issue("router"), other = authority.issue("other");
+    const CertifiedKey mine = authority.issue("router"), other = authority.issue("other");
     const std::string ca = folder.put("ca", authority.certificate()),
                       own = folder.put("own", mine.certificate);
     const std::string key = folder.put("key", mine.key), wrong = folder.put("wrong", other.key);
@@ -71,7 +71,7 @@
 }
 
 struct World : SourceWorld {
-    explicit World(const Papers &server, const std::string &clients = "")
+    explicit World(const CertifiedKey &server, const std::string &clients = "")
         : secure{server.certificate, server.key, clients}, registry(&secure) {
         registry.put("/hosts/a", host_value("in_service"));
     }
@@ -89,7 +89,7 @@
         };
         SourceWorld::begin(std::move(plot));
     }
-    standins::Secure secure;
+    standins::ServerTls secure;
     standins::Registry registry;
     std::unique_ptr<tls::EngineFactory> maker;
 };
@@ -97,14 +97,14 @@
 void a_list_is_followed_with_certificates_on_both_sides() {
     const Folder folder;
     const Authority theirs("theirs"), ours("ours");
-    const Papers mine = ours.issue("router");
+    const CertifiedKey mine = ours.issue("router");
     World world(theirs.issue("127.0.0.1"), ours.certificate());
     world.begin({folder.put("ca", theirs.certificate()), folder.put("own", mine.certificate),
                  folder.put("key", mine.key), ""});
     world.until_list("a+");
     world.registry.put("/hosts/a", host_value("terminating"));
     world.until_list("a-");
-    world.registry.drop();
+    world.registry.cancel_streams();
     world.registry.put("/hosts/b", host_value("in_service"));
     world.until_list("a-b+");
     // Larger than one record of TLS, in one answer.
--- a/tests/membership/world.hpp
+++ b/tests/membership/world.hpp
@@ -13,7 +13,7 @@
 namespace pineridge::test {
 
 struct RegistryWorld {
-    explicit RegistryWorld(int hosts = 6) : town(io, standins::Plot{}) {
+    explicit RegistryWorld(int hosts = 6) : town(io, standins::ClusterOptions{}) {
         for (int i = 0; i < hosts; ++i) put(town.host("h" + std::to_string(i), "north", 1));
         town.write_files();
         // Discovery knows nothing: all hosts come from the registry.
@@ -26,7 +26,7 @@
             << R"("/><watch progress-s="0.1" quiet-s="0.5" look-s="0.4" answer-s="0.5"/></registry></pineridge>)";
         router.launch(io, town.folder);
         until([&] { return said("serving") && registry.watches() > 0; });
-        town.flow("acme", 500);
+        town.send_steadily("acme", 500);
     }
     ~RegistryWorld() { town.stop(); }
 
@@ -46,12 +46,12 @@
     // word was told, on this connection or a later one, did the last pick reach it?
     double drain(standins::Host &host, const std::function<void()> &before,
                  const std::function<void()> &after) {
-        const std::int64_t began = standins::Town::now();
+        const std::int64_t began = standins::LocalCluster::now();
         until([&] { return picks_at(host.id, began) > 2; });
         before();
         host.state = "terminating";
         put(host);
-        const std::int64_t written = standins::Town::now();
+        const std::int64_t written = standins::LocalCluster::now();
         after();
         // It is honoured once the others have served for longer than it was last picked.
         const auto quiet = [&] {
@@ -67,13 +67,13 @@
         for (const auto &pick : town.picks)
             if (pick.host == host.id) last = std::max(last, pick.at);
         host.state = "in_service";
-        host.started_ms = standins::Town::now() - 5000;
+        host.started_ms = standins::LocalCluster::now() - 5000;
         put(host);
         return static_cast<double>(last - written);
     }
 
     boost::asio::io_context io;
-    standins::Town town;
+    standins::LocalCluster town;
     standins::Registry registry;
     RunningRouter router;
 };
--- a/tests/release/loopback_test.cpp
+++ b/tests/release/loopback_test.cpp
@@ -18,7 +18,7 @@
 
 // The stand-ins and a router on the same event loop. Build 1 is released; build 7 is on trial.
 struct World {
-    explicit World(Plot plot = {}) : town(io, plot) {
+    explicit World(ClusterOptions plot = {}) : town(io, plot) {
         town.platform.build = 7;
         town.platform.phase = "Progressing";
         town.platform.stage = 0;
@@ -37,8 +37,8 @@
                const std::source_location &place = std::source_location::current()) {
         const auto describe = [&] {
             std::ostringstream text;
-            text << "RPCs open " << town.clients.open() << "\n" << router.log_text.str();
-            for (const Step &step : town.desk.ledger().steps()) text << step.at << " " << step.word << "\n";
+            text << "RPCs open " << town.clients.open_rpcs() << "\n" << router.log_text.str();
+            for (const Step &step : town.desk.log().steps()) text << step.at << " " << step.update << "\n";
             return text.str();
         };
         test::run_until(io, condition, 30, describe, place);
@@ -48,8 +48,8 @@
     void send_rpcs(const std::string &customer, int rpcs, const std::string &method = "lookup",
                    const std::source_location &place = std::source_location::current()) {
         for (int i = 0; i < rpcs; ++i) {
-            town.clients.ask(customer, method, "k" + std::to_string(++keys));
-            until([&] { return town.clients.open() == 0; }, place);
+            town.clients.send_rpc(customer, method, "k" + std::to_string(++keys));
+            until([&] { return town.clients.open_rpcs() == 0; }, place);
         }
     }
     // Sends RPCs of the customer until this many of its picks in total have reached the build. The proportion
@@ -57,25 +57,27 @@
     void send_until(const std::string &customer, int build, int picks) {
         until([&] {
             if (picks_at(build, customer) >= picks) return true;
-            if (town.clients.open() == 0) town.clients.ask(customer, "lookup", "k" + std::to_string(++keys));
+            if (town.clients.open_rpcs() == 0)
+                town.clients.send_rpc(customer, "lookup", "k" + std::to_string(++keys));
             return false;
         });
-        until([&] { return town.clients.open() == 0; });
+        until([&] { return town.clients.open_rpcs() == 0; });
     }
     int picks_at(int build, const std::string &customer = "") const {
         int count = 0;
-        for (const PickRow &pick : town.picks)
+        for (const PickRecord &pick : town.picks)
             count += pick.build == build && (customer.empty() || pick.customer == customer);
         return count;
     }
     void check_rules() {
-        const Rule rule{*read_settings(town.settings_text(), "town").release};
-        const auto violations = breaches(rule, town.desk.ledger().steps(), town.picks, town.clients.asked());
+        const ReleaseRules rules{*read_settings(town.settings_text(), "town").release};
+        const auto violations = breaches(rules, town.desk.log().steps(), town.picks, town.clients.rpcs());
         for (const std::string &violation : violations) std::cerr << violation << "\n";
         assert(violations.empty());
-        for (const Asked &row : town.clients.asked()) assert(row.answer != "lost" && row.answer != "refused");
+        for (const RpcRecord &row : town.clients.rpcs())
+            assert(row.answer != "lost" && row.answer != "refused");
     }
-    void tell_desk(const std::string &line) { town.desk.tell(line); }
+    void tell_desk(const std::string &line) { town.desk.execute(line); }
     // Waits until the router has logged the event, by which it has applied the desk's last update.
     void await_event(const std::string &event,
                      const std::source_location &place = std::source_location::current()) {
@@ -83,7 +85,7 @@
     }
 
     boost::asio::io_context io;
-    Town town;
+    LocalCluster town;
     test::RunningRouter router;
     int keys = 0;
 };
@@ -108,7 +110,7 @@
 // A freeze starts between the vote and the stage change: the vote counts, and the stage arrives during the
 // freeze.
 void a_freeze_between_the_vote_and_the_stage() {
-    World world(Plot{.evidence = R"(<evidence picks="5" silent-after-s="60" renew-s="0.2"/>)"});
+    World world(ClusterOptions{.evidence = R"(<evidence picks="5" silent-after-s="60" renew-s="0.2"/>)"});
     world.tell_desk("offer booking/7");
     world.tell_desk("stage booking/7 north acme 1");
     world.tell_desk("heed no");
@@ -126,7 +128,7 @@
     world.tell_desk("freeze appeal customer=acme");
     world.tell_desk("opinions count"); // the votes given so far count now
     world.await_event("release.freeze id=appeal");
-    const auto raised = [&] { return world.town.desk.ledger().stage("booking/7", {"north", "acme"}) == 2; };
+    const auto raised = [&] { return world.town.desk.log().stage("booking/7", {"north", "acme"}) == 2; };
     world.until(raised);
     world.send_rpcs("acme", 150);
     assert(!world.has_logged(kStageInAcmeCell + "from=1 to=2"));
@@ -163,7 +165,7 @@
 // The required build is pulled after the dependent build has advanced in one cell and not in another; then it
 // is offered and pulled again.
 void a_required_build_is_pulled_offered_and_pulled_again() {
-    World world(Plot{.extra = R"(<dependencies hold-s="0.3" step-s="0.1"/>)"});
+    World world(ClusterOptions{.extra = R"(<dependencies hold-s="0.3" step-s="0.1"/>)"});
     world.tell_desk("offer donor/3");
     for (const char *customer : {"acme", "bern", "cord"})
         world.tell_desk(std::string("stage donor/3 north ") + customer + " 3");
@@ -198,7 +200,8 @@
 
 // A freeze and a pulled required build at once; the freeze is lifted while cells roll back.
 void a_freeze_is_lifted_while_cells_roll_back() {
-    World world(Plot{.extra = R"(<freezes settle-s="0.1"/><dependencies hold-s="0.3" step-s="0.3"/>)"});
+    World world(
+        ClusterOptions{.extra = R"(<freezes settle-s="0.1"/><dependencies hold-s="0.3" step-s="0.3"/>)"});
     world.tell_desk("offer donor/3");
     for (const char *customer : {"acme", "bern"})
         world.tell_desk(std::string("stage donor/3 north ") + customer + " 3");
@@ -298,22 +301,22 @@
 
 // A cap is lowered with picks in flight: only those may still end at the build.
 void a_lower_cap_applies_with_picks_in_flight() {
-    World world(Plot{.stages = "0.5 0.8 1"});
-    for (Host &host : world.town.hosts) host.takes = std::chrono::milliseconds(100);
+    World world(ClusterOptions{.stages = "0.5 0.8 1"});
+    for (Host &host : world.town.hosts) host.answer_delay = std::chrono::milliseconds(100);
     world.tell_desk("offer booking/7");
     world.tell_desk("stage booking/7 north acme 2");
     world.serve();
     world.await_event("desk.up");
     world.until([&] {
         if (world.picks_at(7) > 3) return true;
-        if (world.town.clients.open() < 40)
-            world.town.clients.ask("acme", "lookup", "k" + std::to_string(++world.keys));
+        if (world.town.clients.open_rpcs() < 40)
+            world.town.clients.send_rpc("acme", "lookup", "k" + std::to_string(++world.keys));
         return false;
     });
     world.tell_desk("cap 0 customer=acme");
     world.await_event("release.cap");
     const int picks_at_cap = world.picks_at(7);
-    world.until([&] { return world.town.clients.open() == 0; });
+    world.until([&] { return world.town.clients.open_rpcs() == 0; });
     world.send_rpcs("acme", 30);
     assert(world.picks_at(7) - picks_at_cap <= 20); // no more than were in flight
     world.check_rules();
@@ -328,8 +331,8 @@
     world.serve();
     world.await_event("desk.up");
     world.send_rpcs("bern", 100);
-    for (int i = 0; i < 300; ++i) world.town.clients.ask("acme", "lookup", "b" + std::to_string(i));
-    world.until([&] { return world.town.clients.open() == 0; });
+    for (int i = 0; i < 300; ++i) world.town.clients.send_rpc("acme", "lookup", "b" + std::to_string(i));
+    world.until([&] { return world.town.clients.open_rpcs() == 0; });
     assert(world.picks_at(7, "acme") <= 300 * 0.05 + 1);
     bool voted_on_cord = false;
     for (const json &opinion : world.town.desk.opinions())
--- a/tests/router_fixture.hpp
+++ b/tests/router_fixture.hpp
@@ -4,7 +4,7 @@
 
 #undef NDEBUG
 #include "router/service.hpp"
-#include "standins/http/place.hpp"
+#include "standins/http/reserved_port.hpp"
 #include "until.hpp"
 
 #include <cassert>
@@ -189,7 +189,7 @@
     }
 
     asio::io_context io;
-    standins::Place listen_address; // of the router
+    standins::ReservedPort listen_address; // of the router
     ScriptedPeer discovery, platform, host;
     const Environment environment = [](const char *) -> const char * { return nullptr; };
     std::ostringstream log_output;
