--- a/bench/admission_flood.cpp
+++ b/bench/admission_flood.cpp
@@ -40,7 +40,7 @@
     }
     static ClusterOptions plot() {
         ClusterOptions plot;
-        plot.sockets = 1024;
+        plot.router_descriptors = 1024;
         return plot;
     }
     // Returns how many RPCs of the crowd's clients were served within 0.5 s, and how many were sent, during
--- a/bench/admission_stall.cpp
+++ b/bench/admission_stall.cpp
@@ -28,7 +28,7 @@
 void run_stall(const std::string &program, int rate, int sockets, int stall_ms) {
     asio::io_context io;
     ClusterOptions plot;
-    plot.sockets = sockets;
+    plot.router_descriptors = sockets;
     LocalCluster town(io, plot);
     for (int i = 0; i < 16; ++i) town.host("h" + std::to_string(i), "north", 1);
     for (Host &host : town.hosts) host.answer_delay = std::chrono::milliseconds(5);
--- a/bench/release_back.cpp
+++ b/bench/release_back.cpp
@@ -64,7 +64,7 @@
         const std::int64_t verdict_at = LocalCluster::now();
         const auto is_pulled = [&] {
             const auto &steps = town.desk.log().steps();
-            return steps.back().word.at("type") == "pull";
+            return steps.back().update.at("type") == "pull";
         };
         run_until(is_pulled, 5);
         run_until([] { return false; }, 0.25);
--- a/standins/blocking/blocking.cpp
+++ b/standins/blocking/blocking.cpp
@@ -101,7 +101,7 @@
     const auto connection = weak.lock();
     if (!connection || muted_ || queries_before != queries_) co_return;
     const std::size_t before = waiting_.size();
-    waiting_.remove_if([&](const auto &one) { return one.first.lock() == connection; });
+    waiting_.remove_if([&](const auto &waiting) { return waiting.first.lock() == connection; });
     if (waiting_.size() < before) answer(prefix, connection);
 }
 
--- a/standins/checker/release.cpp
+++ b/standins/checker/release.cpp
@@ -93,8 +93,14 @@
     std::vector<std::string> found;
     if (picks.empty() || steps.empty()) return found;
     std::int64_t first = steps.front().at, last = first;
-    for (const Step &step : steps) first = std::min(first, step.at), last = std::max(last, step.at);
-    for (const PickRecord &pick : picks) first = std::min(first, pick.at), last = std::max(last, pick.at);
+    for (const Step &step : steps) {
+        first = std::min(first, step.at);
+        last = std::max(last, step.at);
+    }
+    for (const PickRecord &pick : picks) {
+        first = std::min(first, pick.at);
+        last = std::max(last, pick.at);
+    }
     std::map<std::string, bool> offered;
     for (const Step &step : steps)
         if (step.update.at("type") == "offer") offered[build_text(step.update)] = true;
--- a/standins/clients/clients.cpp
+++ b/standins/clients/clients.cpp
@@ -88,7 +88,8 @@
         scan = resp::scan(received, {65536, 16, 4, 1024}, value);
     }
     if (scan != resp::ScanResult::complete) {
-        --open_rpcs_, --connections_;
+        --open_rpcs_;
+        --connections_;
         rpcs_[index].answer = socket_deadline.expired() ? "given up" : "lost";
         co_return;
     }
--- a/standins/demo.cpp
+++ b/standins/demo.cpp
@@ -28,7 +28,7 @@
     {0.0, "ledger acme 5000 40", ""},
     {0.0, "ledger bern 3000 90", ""},
     {0.0, "ledger cord 2000 30", ""},
-    {1.0, "offer donor/3", "donor-details build 3 goes out first: booking build 7 needs it"},
+    {1.0, "offer donor/3", "donor-details build 3 is released first: booking build 7 needs it"},
     {1.1, "stage donor/3 north acme 3", ""},
     {1.1, "stage donor/3 north cord 3", ""},
     {1.2, "offer booking/7 needs donor/3 released",
--- a/standins/desk/desk.cpp
+++ b/standins/desk/desk.cpp
@@ -136,7 +136,7 @@
         if (muted_ || --lines_to_swap_ > 0) return;
         const std::vector<std::string> lines(held_lines_.rbegin(), held_lines_.rend());
         held_lines_.clear();
-        for (const std::string &one : lines) publish(one);
+        for (const std::string &held_line : lines) publish(held_line);
         return;
     }
     const bool cut_line = std::exchange(cut_next_line_, false),
@@ -228,12 +228,12 @@
         return;
     }
     if (verb == "repeat") {
-        std::size_t most = 0;
-        from >> most;
-        const std::vector<std::string> lines(sent_lines_.rbegin(),
-                                             sent_lines_.rbegin() +
-                                                 static_cast<long>(std::min(most, sent_lines_.size())));
-        for (const std::string &one : lines) publish(one);
+        std::size_t update_count = 0;
+        from >> update_count;
+        const std::vector<std::string> lines(
+            sent_lines_.rbegin(),
+            sent_lines_.rbegin() + static_cast<long>(std::min(update_count, sent_lines_.size())));
+        for (const std::string &held_line : lines) publish(held_line);
         return;
     }
     if (verb == "forget") {
@@ -246,7 +246,7 @@
     }
     if (verb == "speak") {
         muted_ = false;
-        for (const std::string &one : std::exchange(held_lines_, {})) publish(one);
+        for (const std::string &held_line : std::exchange(held_lines_, {})) publish(held_line);
         return;
     }
     if (verb == "torn")
@@ -261,9 +261,10 @@
         log_.compact();
     else if (verb == "start")
         server_.start();
-    else if (verb == "stop")
-        streams_.clear(), server_.stop();
-    else
+    else if (verb == "stop") {
+        streams_.clear();
+        server_.stop();
+    } else
         throw std::runtime_error("desk script: unknown line: " + line);
 }
 
--- a/standins/host/host.cpp
+++ b/standins/host/host.cpp
@@ -7,9 +7,9 @@
 using asio::as_tuple;
 using asio::use_awaitable;
 
-Host::Host(asio::io_context &io, std::string its_id, std::string its_zone, int its_build, Now now,
+Host::Host(asio::io_context &io, std::string host_id, std::string host_zone, int host_build, Now now,
            Picks &picks)
-    : id(std::move(its_id)), zone(std::move(its_zone)), build(its_build), io_(io),
+    : id(std::move(host_id)), zone(std::move(host_zone)), build(host_build), io_(io),
       acceptor_(io, {asio::ip::address_v4::loopback(), 0}), now_(std::move(now)), picks_(picks) {
     asio::co_spawn(io, accept(), asio::detached);
 }
--- a/standins/program/program.cpp
+++ b/standins/program/program.cpp
@@ -66,8 +66,8 @@
 
 long resident_kb(const std::string &process) {
     std::ifstream status("/proc/" + process + "/status");
-    for (std::string word; status >> word;)
-        if (word == "VmRSS:") {
+    for (std::string field; status >> field;)
+        if (field == "VmRSS:") {
             long size = 0;
             status >> size;
             return size;
--- a/standins/registry/registry.cpp
+++ b/standins/registry/registry.cpp
@@ -123,10 +123,10 @@
             if (newest != last) *answer->add_kvs() = newest->second;
             return grpc::Status::OK;
         }
-        const auto most = request->limit() > 0 ? request->limit() : count;
-        answer->set_more(count > most);
+        const auto max_pairs = request->limit() > 0 ? request->limit() : count;
+        answer->set_more(count > max_pairs);
         std::int64_t added = 0;
-        for (auto pair = first; pair != last && added < most; ++pair, ++added) {
+        for (auto pair = first; pair != last && added < max_pairs; ++pair, ++added) {
             *answer->add_kvs() = pair->second;
             if (request->keys_only()) answer->mutable_kvs()->rbegin()->clear_value();
         }
@@ -281,21 +281,21 @@
             }
             const bool progressed = std::exchange(progress, false);
             const std::int64_t current_revision = rev;
-            const std::size_t most =
+            const std::size_t batch_size =
                 fragment_events > 0 ? fragment_events : std::max<std::size_t>(1, events.size());
             int fragments_left = break_after;
             guard.unlock();
-            for (std::size_t at = 0; at < events.size(); at += most) {
+            for (std::size_t at = 0; at < events.size(); at += batch_size) {
                 pb::WatchResponse response;
                 response.mutable_header()->set_revision(current_revision);
-                for (std::size_t i = at; i < std::min(events.size(), at + most); ++i)
+                for (std::size_t i = at; i < std::min(events.size(), at + batch_size); ++i)
                     *response.add_events() = events[i];
-                response.set_fragment(at + most < events.size());
+                response.set_fragment(at + batch_size < events.size());
                 const std::int64_t send_began_at = now();
                 if (!stream->Write(response)) break;
                 if (!response.fragment()) { // a client uses a batch only when it is complete
                     const std::lock_guard again(lock);
-                    for (std::size_t i = 0; i < at + most && i < events.size(); ++i)
+                    for (std::size_t i = 0; i < at + batch_size && i < events.size(); ++i)
                         record(send_began_at, call, events[i].kv(), events[i].type() == pb::Event::DELETE);
                 }
                 if (fragments_left >= 0 && --fragments_left < 0) {
@@ -385,9 +385,9 @@
     state_->muted = on;
     state_->changed.notify_all();
 }
-void Registry::skip_events(int changes) {
+void Registry::skip_events(int revisions) {
     const std::lock_guard hold(state_->lock);
-    state_->revisions_to_skip = changes;
+    state_->revisions_to_skip = revisions;
 }
 void Registry::fragment(std::size_t events, int break_after) {
     const std::lock_guard hold(state_->lock);
--- a/standins/registry/registry.hpp
+++ b/standins/registry/registry.hpp
@@ -47,8 +47,8 @@
     void start(); // listens again at the same address
     void mute(bool on); // while on, watches stay open and send nothing, not even progress
     void skip_events(int revisions); // watches leave out the next revisions, but still report progress
-    // Splits batches into fragments of `events` each, and ends the stream after the first `break_after`
-    // fragments and one more (-1: never).
+    // Splits batches into fragments of `events` each. The next stream to send them ends after `break_after` +
+    // 1 fragments (-1: never).
     void fragment(std::size_t events, int break_after);
     void lag(std::int64_t revisions); // reads and new watches are this many revisions behind
     void lose_data(); // becomes empty, at a low revision
--- a/standins/town/town.cpp
+++ b/standins/town/town.cpp
@@ -28,15 +28,17 @@
         .count();
 }
 
-LocalCluster::LocalCluster(asio::io_context &loop, const ClusterOptions &its_options, std::ostream *record)
-    : io(loop), options(its_options), folder(create_folder()), desk(loop, now, record, its_options.desk_port),
-      discovery(loop,
-                [this] {
-                    json all = json::array();
-                    for (const Host &one : hosts) all.push_back(one.entry());
-                    return all;
-                }),
-      platform(loop, its_options.caps), reserved_port(loop), listen(reserved_port.endpoint()),
+LocalCluster::LocalCluster(asio::io_context &loop, const ClusterOptions &cluster_options,
+                           std::ostream *record)
+    : io(loop), options(cluster_options), folder(create_folder()),
+      desk(loop, now, record, cluster_options.desk_port), discovery(loop,
+                                                                    [this] {
+                                                                        json entries = json::array();
+                                                                        for (const Host &host : hosts)
+                                                                            entries.push_back(host.entry());
+                                                                        return entries;
+                                                                    }),
+      platform(loop, cluster_options.caps), reserved_port(loop), listen(reserved_port.endpoint()),
       clients(loop, listen, now) {}
 
 LocalCluster::~LocalCluster() { std::filesystem::remove_all(folder); }
@@ -67,7 +69,8 @@
                       {"aim", 0.5},       {"window", 1},           {"worth", 1},
                       {"stream", false}};
     json book = lookup;
-    book["name"] = "do-book", book["repeat"] = "non_idempotent";
+    book["name"] = "do-book";
+    book["repeat"] = "non_idempotent";
     json tenants = json::array();
     for (const std::string &customer : options.customers) tenants.push_back({{"name", customer}});
     json shares = json::array();
--- a/tests/admission/flood_test.cpp
+++ b/tests/admission/flood_test.cpp
@@ -38,7 +38,7 @@
     ~Fixture() { town.stop(); }
     static standins::ClusterOptions plot_with(int descriptors) {
         standins::ClusterOptions plot;
-        plot.sockets = descriptors;
+        plot.router_descriptors = descriptors;
         return plot;
     }
     void write_settings(const std::string &rules, const std::string &attributes = "") {
