--- a/bench/membership_drain.cpp
+++ b/bench/membership_drain.cpp
@@ -17,7 +17,7 @@
         std::vector<double> delays_ms;
         for (int i = 0; i < drains; ++i) {
             if (++host == world.town.hosts.end()) host = world.town.hosts.begin();
-            delays_ms.push_back(world.drain(*host, before, after));
+            delays_ms.push_back(world.drain_delay_ms(*host, before, after));
         }
         std::sort(delays_ms.begin(), delays_ms.end());
         const auto quantile = [&](double share) {
--- a/bench/membership_scale.cpp
+++ b/bench/membership_scale.cpp
@@ -42,9 +42,10 @@
 void measure_drains(int hosts, int routers, int changes, int seconds) {
     standins::Registry registry;
     fill(registry, hosts);
-    Fleet fleet(registry, routers, 4, 0);
+    SourceFleet fleet(registry, routers, 4, 0);
     wait_for([&] {
-        return fleet.told() >= static_cast<std::size_t>(hosts) * static_cast<std::size_t>(routers) &&
+        return fleet.received_entries() >=
+                   static_cast<std::size_t>(hosts) * static_cast<std::size_t>(routers) &&
                registry.watches() >= routers;
     });
     const auto began = Clock::now();
@@ -57,7 +58,7 @@
             fleet.ready("h" + std::to_string(hosts / 2 + i % (hosts / 2)));
     }
     std::this_thread::sleep_for(std::chrono::seconds(2));
-    std::vector<Ticks> times = fleet.take_times();
+    std::vector<Ticks> times = fleet.take_drain_delays();
     std::sort(times.begin(), times.end());
     const auto quantile_ms = [&](double share) {
         return times[static_cast<std::size_t>(share * (times.size() - 1))] / 10.0;
@@ -75,16 +76,16 @@
     const Limits limits{};
     const auto began = Clock::now();
     std::shared_ptr<standins::BlockingRegistry> server; // destroyed before the event loop
-    Plot plot = make_plot(io, server);
+    SourceOptions options = make_plot(io, server);
     Source source(
-        io, std::move(plot), read_value, limits, log, 7, [&] { return ticks_since(began); },
+        io, std::move(options), read_value, limits, log, 7, [&] { return ticks_since(began); },
         [](const Listing &) {});
     const auto start = Clock::now();
     source.begin();
     while (!source.view().synced()) io.run_one();
     const double elapsed_ms = std::chrono::duration<double, std::milli>(Clock::now() - start).count();
-    std::cout << name << ", " << hosts << " hosts: " << elapsed_ms << " ms, " << source.heard() / 1024
-              << " KiB\n";
+    std::cout << name << ", " << hosts << " hosts: " << elapsed_ms << " ms, "
+              << source.received_bytes() / 1024 << " KiB\n";
     source.stop();
     io.run_for(std::chrono::milliseconds(50));
 }
@@ -96,25 +97,25 @@
         fill(registry, hosts);
         for (int round = 0; round < 3; ++round)
             measure_one_resync("etcd", hosts, [&](boost::asio::io_context &, auto &) {
-                Plot plot;
-                plot.endpoints = {read_address(registry.address(), "endpoint")};
-                plot.follow = [](View &view, const std::string &authority) {
+                SourceOptions options;
+                options.endpoints = {read_address(registry.address(), "endpoint")};
+                options.make_protocol = [](View &view, const std::string &authority) {
                     return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "",
                                                             etcd::Timing{});
                 };
-                return plot;
+                return options;
             });
         for (int round = 0; round < 3; ++round)
             measure_one_resync("blocking queries", hosts, [&](boost::asio::io_context &io, auto &server) {
                 server = std::make_shared<standins::BlockingRegistry>(io);
                 for (int i = 0; i < hosts; ++i) server->put("hosts/h" + std::to_string(i), value_of(i));
-                Plot plot;
-                plot.endpoints = {read_address(server->address(), "endpoint")};
-                plot.follow = [](View &view, const std::string &authority) {
+                SourceOptions options;
+                options.endpoints = {read_address(server->address(), "endpoint")};
+                options.make_protocol = [](View &view, const std::string &authority) {
                     return std::make_shared<blocking::Follower>(view, read_value, "hosts/", authority, "",
                                                                 blocking::Timing{}, 3);
                 };
-                return plot;
+                return options;
             });
     }
 }
@@ -125,7 +126,7 @@
     for (const Ticks spread : {Ticks{0}, Ticks{20000}, Ticks{100000}}) {
         standins::Registry registry;
         fill(registry, hosts);
-        Fleet fleet(registry, routers, 4, spread);
+        SourceFleet fleet(registry, routers, 4, spread);
         wait_for([&] { return registry.watches() >= routers; });
         registry.stop();
         std::this_thread::sleep_for(std::chrono::seconds(3));
@@ -133,7 +134,7 @@
         registry.compact(registry.revision());
         registry.take_read_times();
         const int watches_before = registry.watches();
-        const std::size_t bytes_before = fleet.bytes();
+        const std::size_t bytes_before = fleet.received_bytes();
         registry.start();
         const auto began = Clock::now();
         // Each router opens two watches: one is refused as compacted, the other follows the full read.
@@ -148,7 +149,8 @@
                     [std::chrono::duration_cast<std::chrono::milliseconds>(read_at - began).count() / 100]);
         std::cout << hosts << " hosts, " << routers << " routers, spread " << spread / 10000.0
                   << " s: all routers watch again after " << elapsed_s << " s, at most " << max_pages
-                  << " pages in 0.1 s, " << (fleet.bytes() - bytes_before) / 1048576 << " MiB in all\n";
+                  << " pages in 0.1 s, " << (fleet.received_bytes() - bytes_before) / 1048576
+                  << " MiB in all\n";
     }
 }
 
--- a/fuzz/follower.cpp
+++ b/fuzz/follower.cpp
@@ -29,7 +29,7 @@
         follower.output();
         for (std::size_t at = 0; at < bytes.size() && follower.feed(bytes.substr(at, 64), 1); at += 64)
             follower.output();
-        follower.clock(100000);
+        follower.set_time(100000);
     }
     // Watch messages without their frames, each after a byte with its length, applied to a view.
     View view{{}};
@@ -42,18 +42,18 @@
             for (const auto &event : response.events()) {
                 Record record =
                     make_record(read_host, event.kv().key(), event.kv().mod_revision(), event.kv().value());
-                record.gone = event.type() == etcdserverpb::Event::DELETE;
+                record.deleted = event.type() == etcdserverpb::Event::DELETE;
                 if (at % 2)
-                    view.change(record);
+                    view.apply_change(record);
                 else
-                    view.page({record});
+                    view.add_page({record});
             }
         at += message_size + 1;
     }
     view.end_read(1 << 20);
     std::size_t listed_hosts = 0;
-    while (const auto listing = view.take())
+    while (const auto listing = view.take_listing())
         for (const Member &member : listing->members) listed_hosts += member.entry.status != HostStatus::gone;
-    if (listed_hosts != view.size()) std::abort();
+    if (listed_hosts != view.host_count()) std::abort();
     return 0;
 }
--- a/src/cli/registry.cpp
+++ b/src/cli/registry.cpp
@@ -46,12 +46,12 @@
 }
 
 void print(std::ostream &out, const Record &record) {
-    out << record.key << " rev " << record.rev;
+    out << record.key << " rev " << record.revision;
     if (record.member)
         out << " " << name_of(record.member->entry.status) << " " << record.member->address << " build "
             << record.member->entry.build;
     else
-        out << " unreadable: " << record.fault;
+        out << " unreadable: " << record.error;
     out << "\n";
 }
 
@@ -60,12 +60,13 @@
     explicit RegistryFollower(const Options &options)
         : settings(load_settings_file(options.settings_file)), log(std::cerr, "registry", Level::warning) {
         if (!settings.registry) throw BadInput(options.settings_file + ": registry: missing");
-        access = make_access(*settings.registry);
-        Plot plot = make_plot(*settings.registry, access, read_host, static_cast<std::uint64_t>(clock_now()));
-        plot.known_file.clear();
-        plot.ends.spread = 0; // an operator waits for the result
-        source.emplace(io, std::move(plot), read_host, limits, log, static_cast<std::uint64_t>(clock_now()),
-                       clock_now, [this](const Listing &listing) {
+        access = make_registry_access(*settings.registry);
+        SourceOptions source_options = make_source_options(*settings.registry, access, read_host,
+                                                           static_cast<std::uint64_t>(clock_now()));
+        source_options.cache_file.clear();
+        source_options.endpoint_rules.read_spread = 0; // an operator waits for the result
+        source.emplace(io, std::move(source_options), read_host, limits, log,
+                       static_cast<std::uint64_t>(clock_now()), clock_now, [this](const Listing &listing) {
                            if (on_listing) on_listing(listing);
                        });
     }
@@ -89,7 +90,7 @@
     boost::asio::io_context io;
     const Limits limits{};
     const Log log;
-    Access access;
+    RegistryAccess access;
     std::function<void(const Listing &)> on_listing;
     std::optional<Source> source;
 };
@@ -97,10 +98,11 @@
 int dump(const Options &options) {
     RegistryFollower follower(options);
     const View &view = follower.read(options.wait_s);
-    std::cout << "revision " << view.revision() << ", age " << view.age() / 10 << " ms, hosts " << view.size()
-              << ", unreadable " << view.unreadable() << "\n";
+    std::cout << "revision " << view.revision() << ", age " << view.age() / 10 << " ms, hosts "
+              << view.host_count() << ", unreadable " << view.unreadable_count() << "\n";
     for (const Record &record : view.records()) print(std::cout, record);
-    for (const auto &[key, rev] : view.faulty()) std::cout << key << " rev " << rev << " unreadable\n";
+    for (const auto &[key, rev] : view.unreadable_keys())
+        std::cout << key << " rev " << rev << " unreadable\n";
     return 0;
 }
 
@@ -112,7 +114,7 @@
                       << " build " << member.entry.build << std::endl;
     };
     const View &view = follower.read(options.wait_s);
-    std::cout << clock_now() / 10 << " revision " << view.revision() << ", hosts " << view.size()
+    std::cout << clock_now() / 10 << " revision " << view.revision() << ", hosts " << view.host_count()
               << std::endl;
     boost::asio::signal_set signals(follower.io, SIGINT, SIGTERM);
     bool stopped = false;
@@ -130,16 +132,16 @@
     const std::string path =
         options.cache_file.empty() ? follower.settings.registry->cache_file : options.cache_file;
     if (path.empty()) throw BadInput("--known: not given, and the settings have no known-file");
-    const auto bytes = load(path, 64u << 20);
+    const auto bytes = load_file(path, 64u << 20);
     if (!bytes) throw BadInput(path + ": missing, or over 64 MB");
     std::string why;
-    const auto cached = unpack(*bytes, follower.settings.registry->prefix, why);
+    const auto cached = decode_list(*bytes, follower.settings.registry->prefix, why);
     if (!cached) throw BadInput(path + ": " + why);
     const View &view = follower.read(options.wait_s);
-    std::map<std::string, std::string> cached_values(cached->pairs.begin(), cached->pairs.end());
+    std::map<std::string, std::string> cached_values(cached->entries.begin(), cached->entries.end());
     std::map<std::string, std::string> registry_values;
     for (const Record &record : view.records()) registry_values[record.key] = record.value;
-    std::cout << "cached: revision " << cached->rev << ", age " << clock_now() / 10 - cached->written
+    std::cout << "cached: revision " << cached->revision << ", age " << clock_now() / 10 - cached->written_ms
               << " ms; registry: revision " << view.revision() << "\n";
     int differences = 0;
     for (const auto &[key, value] : cached_values) {
--- a/src/membership/access.cpp
+++ b/src/membership/access.cpp
@@ -8,8 +8,8 @@
 
 namespace pineridge::membership {
 
-Access make_access(const RegistrySettings &from) {
-    Access access;
+RegistryAccess make_registry_access(const RegistrySettings &from) {
+    RegistryAccess access;
     for (const std::string &endpoint : from.endpoints)
         access.endpoints.push_back(read_address(endpoint, "registry.endpoint.address"));
     if (!from.token_file.empty()) {
@@ -22,38 +22,38 @@
     return access;
 }
 
-Plot make_plot(const RegistrySettings &from, const Access &access, const ReadValue &read,
-               std::uint64_t seed) {
-    Plot plot;
-    plot.endpoints = access.endpoints;
-    plot.prefix = from.prefix;
-    plot.known_file = from.cache_file;
-    plot.view.doubt_share = from.doubt_share;
-    plot.view.doubt_least = static_cast<std::size_t>(from.min_doubted_hosts);
-    plot.view.doubt_for = from.doubt_timeout;
-    plot.view.confirm_after = from.confirm_after;
-    plot.view.lag_for = from.max_lag_time;
-    plot.ends.spread = from.read_spread;
-    plot.quiet = from.watch_timeout;
-    plot.tls = access.tls.get();
+SourceOptions make_source_options(const RegistrySettings &from, const RegistryAccess &access,
+                                  const ReadValue &read, std::uint64_t seed) {
+    SourceOptions options;
+    options.endpoints = access.endpoints;
+    options.prefix = from.prefix;
+    options.cache_file = from.cache_file;
+    options.view_rules.doubt_share = from.doubt_share;
+    options.view_rules.min_doubted_hosts = static_cast<std::size_t>(from.min_doubted_hosts);
+    options.view_rules.doubt_timeout = from.doubt_timeout;
+    options.view_rules.confirm_after = from.confirm_after;
+    options.view_rules.max_lag_time = from.max_lag_time;
+    options.endpoint_rules.read_spread = from.read_spread;
+    options.stale_after = from.watch_timeout;
+    options.tls = access.tls.get();
     if (from.kind == RegistrySettings::Kind::blocking) {
-        plot.protocol = "http/1.1";
+        options.protocol = "http/1.1";
         const blocking::Timing timing{from.query_wait, from.answer_timeout, from.query_gap,
                                       from.max_leader_silence};
-        plot.follow = [=, prefix = from.prefix, token = access.token](View &view,
-                                                                      const std::string &authority) {
+        options.make_protocol = [=, prefix = from.prefix,
+                                 token = access.token](View &view, const std::string &authority) {
             return std::make_shared<blocking::Follower>(view, read, prefix, authority, token, timing, seed);
         };
-        return plot;
+        return options;
     }
     const etcd::Timing timing{from.answer_timeout, from.progress_interval, from.watch_timeout,
                               from.audit_interval};
-    plot.follow = [=, prefix = from.prefix, token = access.token,
-                   page = static_cast<std::size_t>(from.page_size)](View &view,
-                                                                    const std::string &authority) {
+    options.make_protocol = [=, prefix = from.prefix, token = access.token,
+                             page = static_cast<std::size_t>(from.page_size)](View &view,
+                                                                              const std::string &authority) {
         return std::make_shared<etcd::Follower>(view, read, prefix, authority, token, timing, page);
     };
-    return plot;
+    return options;
 }
 
 } // namespace pineridge::membership
--- a/src/membership/access.hpp
+++ b/src/membership/access.hpp
@@ -9,16 +9,17 @@
 
 namespace pineridge::membership {
 
-struct Access {
+struct RegistryAccess {
     std::vector<Address> endpoints;
     std::string token; // never logged
     std::unique_ptr<tls::EngineFactory> tls; // none: plaintext
 };
 
 // Throws BadInput naming the key or the file; std::runtime_error where the library of TLS is not there.
-Access make_access(const RegistrySettings &from);
+RegistryAccess make_registry_access(const RegistrySettings &from);
 
-// The plot for a source; `access` must outlive it.
-Plot make_plot(const RegistrySettings &from, const Access &access, const ReadValue &read, std::uint64_t seed);
+// The options for a source; `access` must outlive it.
+SourceOptions make_source_options(const RegistrySettings &from, const RegistryAccess &access,
+                                  const ReadValue &read, std::uint64_t seed);
 
 } // namespace pineridge::membership
--- a/src/membership/blocking/follower.cpp
+++ b/src/membership/blocking/follower.cpp
@@ -50,8 +50,8 @@
 
 void Follower::begin(Ticks now) {
     now_ = now;
-    view_.broken(); // requests on an earlier connection are lost
-    view_.ask(); // any response is a whole read, so it satisfies whatever the view requests
+    view_.watch_ended(); // requests on an earlier connection are lost
+    view_.take_next_action(); // any response is a whole read, so it satisfies whatever the view requests
     send_query();
 }
 
@@ -61,7 +61,8 @@
     Ticks wait = 0;
     if (index_ > 0) {
         // While the view doubts a read, the confirming read is made as soon as it may count.
-        wait = view_.doubting() ? std::min(timing_.query_wait, view_.confirms_in()) : timing_.query_wait;
+        wait = view_.has_doubted_hosts() ? std::min(timing_.query_wait, view_.time_to_confirmation())
+                                         : timing_.query_wait;
         wait = std::max<Ticks>(10, static_cast<Ticks>(wait * (1 + random_.uniform() / 16)));
         path += "&index=" + std::to_string(index_) + "&wait=" + std::to_string((wait + 9) / 10) + "ms";
     }
@@ -81,18 +82,18 @@
     Record record;
     if (!entry.error.empty()) {
         record.key = std::move(entry.key);
-        record.rev = entry.modify_index;
-        record.fault = std::move(entry.error);
+        record.revision = entry.modify_index;
+        record.error = std::move(entry.error);
     } else if (view_.revision_of(entry.key) == entry.modify_index) {
         record.key = std::move(entry.key);
-        record.rev = entry.modify_index;
-        record.same = true;
+        record.revision = entry.modify_index;
+        record.unchanged = true;
     } else {
         record = make_record(read_, std::move(entry.key), entry.modify_index, entry.value);
     }
     page_.push_back(std::move(record));
     if (page_.size() < kPageEntries) return;
-    view_.page(page_);
+    view_.add_page(page_);
     page_.clear();
 }
 
@@ -135,42 +136,43 @@
         return false;
     }
     if (response_->is_complete()) handle_response();
-    return !dead();
+    return !has_failed();
 }
 
 void Follower::handle_response() {
     if (response_->status() == 200 && !parser_->end())
         return fail("malformed response body: JSON ends too early");
-    view_.page(std::exchange(page_, {}));
+    view_.add_page(std::exchange(page_, {}));
     // At least 1: a query with index 0 never blocks, and the list would be read in a loop.
     const std::int64_t index = std::max<std::int64_t>(1, parse_number(response_->captured_header(kIndex), 1));
     const bool stays_open = response_->keep_alive();
     response_.reset();
     if (index < index_ && !std::exchange(index_went_back_, true)) {
-        view_.drop_read(); // only a read without an index shows the list as it is now
-        view_.ask();
+        view_.abort_read(); // only a read without an index shows the list as it is now
+        view_.take_next_action();
         index_ = 0;
         return send_query();
     }
     index_went_back_ = false;
     index_ = index;
     view_.end_read(index);
-    if (view_.ask() == Ask::elsewhere) return fail("registry member lags behind the known revision");
+    if (view_.take_next_action() == NextAction::change_endpoint)
+        return fail("registry member lags behind the known revision");
     if (!stays_open) return fail("registry member closes the connection");
     next_query_at_ = now_ + timing_.query_gap;
     answer_deadline_ = next_query_at_ + timing_.answer_timeout;
 }
 
-void Follower::clock(Ticks now) {
+void Follower::set_time(Ticks now) {
     now_ = std::max(now_, now);
-    if (dead()) return;
-    view_.ask(); // the next response is a whole read and satisfies the request
+    if (has_failed()) return;
+    view_.take_next_action(); // the next response is a whole read and satisfies the request
     if (next_query_at_ >= 0 && now_ >= next_query_at_) return send_query();
     // Without a timeout, a dead connection that stays open would hide drains for longer than the wait.
     if (next_query_at_ < 0 && now_ >= answer_deadline_) fail("blocking query not answered in time");
 }
 
-void Follower::ended() {
+void Follower::connection_closed() {
     if (response_ && !response_->is_complete()) {
         response_->end_of_stream();
         if (response_->is_complete() && !response_->is_malformed()) {
--- a/src/membership/blocking/follower.hpp
+++ b/src/membership/blocking/follower.hpp
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "membership/blocking/entry_parser.hpp"
-#include "membership/peer.hpp"
+#include "membership/protocol.hpp"
 #include "membership/value.hpp"
 #include "membership/view.hpp"
 #include "net/http/response.hpp"
@@ -26,7 +26,7 @@
     Ticks max_leader_silence = 50000; // a member without contact to its leader for longer is not used
 };
 
-class Follower final : public Peer {
+class Follower final : public Protocol {
   public:
     // The view must outlive the follower. `read` converts a key's value into a host.
     Follower(View &view, ReadValue read, std::string prefix, std::string authority, std::string token,
@@ -34,9 +34,9 @@
 
     void begin(Ticks now) override;
     bool feed(std::string_view bytes, Ticks now) override;
-    void clock(Ticks now) override;
+    void set_time(Ticks now) override;
     std::string output() override { return std::exchange(unsent_, {}); }
-    void ended() override;
+    void connection_closed() override;
 
   private:
     void send_query();
--- a/src/membership/etcd/follower.cpp
+++ b/src/membership/etcd/follower.cpp
@@ -27,22 +27,22 @@
 void Follower::begin(Ticks now) {
     now_ = last_message_at_ = now;
     // The calls of an earlier connection are lost, so the view is asked again what to do.
-    view_.broken();
+    view_.watch_ended();
     start_next_step();
 }
 
 void Follower::start_next_step() {
-    switch (view_.ask()) {
-    case Ask::whole:
+    switch (view_.take_next_action()) {
+    case NextAction::full_read:
         if (watch_call_ >= 0) session_.cancel(std::exchange(watch_call_, -1));
         fragments_.clear();
         view_.begin_read();
         read_revision_ = 0;
         page_limit_ = page_size_;
         return read_page(prefix_);
-    case Ask::resume: return open_watch();
-    case Ask::elsewhere: return fail("registry member lags behind the known revision");
-    case Ask::nothing: return;
+    case NextAction::resume_watch: return open_watch();
+    case NextAction::change_endpoint: return fail("registry member lags behind the known revision");
+    case NextAction::none: return;
     }
 }
 
@@ -74,9 +74,9 @@
     deadline_ = now_ + timing_.answer_timeout;
 }
 
-void Follower::clock(Ticks now) {
+void Follower::set_time(Ticks now) {
     now_ = std::max(now_, now);
-    if (dead() || state_ == State::idle) return;
+    if (has_failed() || state_ == State::idle) return;
     if (state_ != State::watching) {
         if (now_ >= deadline_)
             fail(state_ == State::reading ? "range read not answered in time" : "watch not created in time");
@@ -126,14 +126,14 @@
             // Resuming the watch would meet the same huge value again and again, so the whole prefix is read
             // instead, without that value.
             watch_call_ = -1;
-            view_.missed(event.text);
+            view_.watch_missed(event.text);
             return start_next_step();
         }
         if (event.call == watch_call_) return fail("watch ended: " + event.text);
         // Out of range: the revision of the read was compacted in the meantime.
         if (event.call == page_call_ && state_ == State::reading) {
             if (event.status != kStatusOutOfRange) return fail("range read failed: " + event.text);
-            view_.drop_read();
+            view_.abort_read();
             return start_next_step();
         }
         if (event.call == audit_call_) audit_call_ = -1; // a compacted or failed audit shows nothing
@@ -160,9 +160,9 @@
         return make_record(read_, key_value.key(), key_value.mod_revision(), key_value.value());
     Record record;
     record.key = key_value.key();
-    record.rev = key_value.mod_revision();
-    record.gone = deleted;
-    record.same = same;
+    record.revision = key_value.mod_revision();
+    record.deleted = deleted;
+    record.unchanged = same;
     return record;
 }
 
@@ -173,14 +173,14 @@
     std::vector<Record> records;
     for (const auto &key_value : response.kvs()) {
         records.push_back(to_record(key_value, false));
-        if (keys_only_ && !records.back().same) {
+        if (keys_only_ && !records.back().unchanged) {
             records.back().member.reset();
-            records.back().fault = "value exceeds the message size limit";
+            records.back().error = "value exceeds the message size limit";
         }
     }
     keys_only_ = false;
     page_limit_ = std::min(page_size_, page_limit_ * 2);
-    view_.page(records);
+    view_.add_page(records);
     page_call_ = -1;
     if (response.more() && response.kvs_size() > 0)
         return read_page(response.kvs(response.kvs_size() - 1).key() + '\0');
@@ -194,7 +194,7 @@
     if (!response.ParseFromString(bytes) || !response.has_header()) return fail("malformed watch message");
     last_message_at_ = now_;
     if (response.compact_revision() > 0) {
-        view_.compacted();
+        view_.watch_compacted();
         watch_call_ = -1;
         return start_next_step();
     }
@@ -204,7 +204,7 @@
         next_progress_at_ = now_ + timing_.progress_interval;
         next_audit_at_ = now_ + timing_.audit_interval;
         if (response.header().revision() < view_.revision()) {
-            view_.member_at(response.header().revision());
+            view_.check_member_revision(response.header().revision());
             return start_next_step();
         }
         return;
@@ -214,23 +214,24 @@
     if (fragments_.size() > kMaxBatchEvents) return fail("too many events in one watch batch");
     if (response.fragment()) return;
     for (const auto &event : std::exchange(fragments_, {}))
-        view_.change(to_record(event.kv(), event.type() == etcdserverpb::Event::DELETE));
-    if (response.events_size() == 0) view_.progress(response.header().revision());
+        view_.apply_change(to_record(event.kv(), event.type() == etcdserverpb::Event::DELETE));
+    if (response.events_size() == 0) view_.record_progress(response.header().revision());
     start_next_step();
 }
 
 void Follower::handle_audit_response(const std::string &bytes) {
     audit_call_ = -1;
     etcdserverpb::RangeResponse response;
-    if (!response.ParseFromString(bytes) || view_.doubting()) return;
+    if (!response.ParseFromString(bytes) || view_.has_doubted_hosts()) return;
     for (const auto &key_value : response.kvs())
         if (key_value.mod_revision() <= audit_revision_ &&
             view_.revision_of(key_value.key()) < key_value.mod_revision()) {
-            view_.missed(key_value.key());
+            view_.watch_missed(key_value.key());
             return start_next_step();
         }
-    if (response.count() < static_cast<std::int64_t>(view_.size()) && view_.revision() == audit_revision_) {
-        view_.missed("a deletion");
+    if (response.count() < static_cast<std::int64_t>(view_.host_count()) &&
+        view_.revision() == audit_revision_) {
+        view_.watch_missed("a deletion");
         start_next_step();
     }
 }
--- a/src/membership/etcd/follower.hpp
+++ b/src/membership/etcd/follower.hpp
@@ -28,7 +28,7 @@
              Timing timing, std::size_t page_size = 500);
 
     void begin(Ticks now) override;
-    void clock(Ticks now) override;
+    void set_time(Ticks now) override;
 
   private:
     enum class State { idle, reading, opening_watch, watching };
--- a/src/membership/etcd/grpc_peer.hpp
+++ b/src/membership/etcd/grpc_peer.hpp
@@ -2,20 +2,20 @@
 // one by one until the connection has failed.
 #pragma once
 
-#include "membership/peer.hpp"
+#include "membership/protocol.hpp"
 #include "net/http2/session.hpp"
 
 #include <algorithm>
 
 namespace pineridge::membership::etcd {
 
-class GrpcPeer : public Peer {
+class GrpcPeer : public Protocol {
   public:
     bool feed(std::string_view bytes, Ticks now) final {
         now_ = std::max(now_, now);
         session_.feed(bytes);
         handle_events();
-        return !dead();
+        return !has_failed();
     }
     std::string output() final {
         std::string bytes = session_.take_output();
@@ -34,7 +34,7 @@
     void handle_events() {
         if (!session_.error().empty()) fail(session_.error());
         http2::Event event{};
-        while (!dead() && session_.next_event(event)) handle_event(event);
+        while (!has_failed() && session_.next_event(event)) handle_event(event);
     }
 };
 
--- a/src/membership/etcd/registrar.cpp
+++ b/src/membership/etcd/registrar.cpp
@@ -35,7 +35,7 @@
 
 // Starts the next call of the sequence once the one before it is answered.
 void Registrar::start_next_call() {
-    if (dead() || over_ || grant_call_ >= 0 || put_call_ >= 0 || ttl_call_ >= 0 || delete_call_ >= 0 ||
+    if (has_failed() || over_ || grant_call_ >= 0 || put_call_ >= 0 || ttl_call_ >= 0 || delete_call_ >= 0 ||
         revoke_call_ >= 0)
         return;
     if (deregistering_) {
@@ -70,13 +70,13 @@
     } else if (keep_alive_call_ < 0) {
         keep_alive_call_ = session_.start_call("/etcdserverpb.Lease/LeaseKeepAlive", authority_, token_);
         next_renewal_at_ = now_;
-        clock(now_);
+        set_time(now_);
     }
 }
 
-void Registrar::clock(Ticks now) {
+void Registrar::set_time(Ticks now) {
     now_ = std::max(now_, now);
-    if (dead() || over_) return;
+    if (has_failed() || over_) return;
     // Without a timeout, the lease could expire unnoticed on a connection that is dead though open.
     if (answer_deadline_ >= 0 && now_ >= answer_deadline_) return fail("no answer within the answer timeout");
     if (keep_alive_call_ < 0 || now_ < next_renewal_at_) return;
--- a/src/membership/etcd/registrar.hpp
+++ b/src/membership/etcd/registrar.hpp
@@ -29,8 +29,8 @@
     Registrar(LeaseState &lease, LeasedKey key, std::string authority, std::string token, bool deregistering);
 
     void begin(Ticks now) override;
-    void clock(Ticks now) override;
-    bool over() const override { return over_; }
+    void set_time(Ticks now) override;
+    bool finished() const override { return over_; }
 
     // Starts to delete the key and to revoke the lease; `over` returns true once both are answered.
     void deregister();
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -19,12 +19,12 @@
 // One key as a registry tells it: `rev` is the revision at which it was last written.
 struct Record {
     std::string key;
-    std::int64_t rev = 0;
-    bool gone = false; // the key was taken away, or its lease ran out
+    std::int64_t revision = 0;
+    bool deleted = false; // the key was taken away, or its lease ran out
     std::optional<Member> member{}; // none: its value cannot be read
-    std::string fault{}; // then: why
+    std::string error{}; // then: why
     std::string value{}; // as it was told, for the last known list
-    bool same = false; // the view holds this key at this revision: its value was not read again
+    bool unchanged = false; // the view holds this key at this revision: its value was not read again
 };
 
 // The list as the module wants it.
--- a/src/membership/peer.hpp
+++ b/src/membership/protocol.hpp
@@ -9,28 +9,28 @@
 
 namespace pineridge::membership {
 
-class Peer {
+class Protocol {
   public:
-    virtual ~Peer() = default;
+    virtual ~Protocol() = default;
     virtual void begin(Ticks now) = 0; // the connection stands
     virtual bool feed(std::string_view bytes, Ticks now) = 0; // false: the connection is of no further use
-    virtual void clock(Ticks now) = 0; // a bounded time may have passed: see `dead`
+    virtual void set_time(Ticks now) = 0; // a bounded time may have passed: see `dead`
     virtual std::string output() = 0; // bytes to be written now
     // The other side has ended the connection; what that means is the conversation's matter.
-    virtual void ended() { fail("the connection ended"); }
+    virtual void connection_closed() { fail("the connection ended"); }
 
-    bool dead() const { return !why_.empty(); }
-    const std::string &why() const { return why_; }
+    bool has_failed() const { return !failure_.empty(); }
+    const std::string &failure() const { return failure_; }
     // Nothing is left to be done: the connection may be closed, and nothing has failed.
-    virtual bool over() const { return false; }
+    virtual bool finished() const { return false; }
 
   protected:
     void fail(const std::string &why) {
-        if (why_.empty()) why_ = why;
+        if (failure_.empty()) failure_ = why;
     }
 
   private:
-    std::string why_;
+    std::string failure_;
 };
 
 } // namespace pineridge::membership
--- a/src/membership/registration.cpp
+++ b/src/membership/registration.cpp
@@ -9,21 +9,21 @@
 
 Registration::Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::LeasedKey own,
                            std::string token, tls::EngineFactory *tls, const Limits &limits, const Log &log,
-                           std::uint64_t seed, Pump::Clock clock)
+                           std::uint64_t seed, ConnectionDriver::Clock clock)
     : io_(io), endpoints_(std::move(endpoints)), own_(std::move(own)), token_(std::move(token)), log_(log),
-      clock_(std::move(clock)), ends_(endpoints_.size(), {}, seed ^ 0x9e3779b97f4a7c15ULL),
-      pump_(io, limits, clock_, tls, "h2"), timer_(io), last_(io) {}
+      clock_(std::move(clock)), endpoint_selector_(endpoints_.size(), {}, seed ^ 0x9e3779b97f4a7c15ULL),
+      connection_(io, limits, clock_, tls, "h2"), timer_(io), unregister_timer_(io) {}
 
 void Registration::begin() { asio::co_spawn(io_, run(), asio::detached); }
 
-void Registration::leave(std::function<void()> done) {
-    if (std::exchange(leaving_, true)) return;
+void Registration::unregister(std::function<void()> done) {
+    if (std::exchange(unregistering_, true)) return;
     done_ = std::move(done);
     if (registrar_) registrar_->deregister();
-    pump_.kick();
+    connection_.flush_output();
     timer_.cancel();
-    last_.expires_after(std::chrono::microseconds(own_.answer_timeout * 100));
-    last_.async_wait([this](boost::system::error_code failed) {
+    unregister_timer_.expires_after(std::chrono::microseconds(own_.answer_timeout * 100));
+    unregister_timer_.async_wait([this](boost::system::error_code failed) {
         if (failed || !done_) return;
         // The lease takes the key away when it runs out.
         log_.event(Level::warning, "registry.own", {{"key", own_.key}, {"left", "unknown"}});
@@ -33,37 +33,37 @@
 
 void Registration::finish() {
     stopped_ = true;
-    pump_.stop();
-    last_.cancel();
+    connection_.stop();
+    unregister_timer_.cancel();
     timer_.cancel();
     if (const auto done = std::exchange(done_, nullptr)) done();
 }
 
 asio::awaitable<void> Registration::run() {
     while (!stopped_) {
-        const int at = ends_.next(clock_());
+        const int at = endpoint_selector_.next(clock_());
         if (at < 0) {
-            timer_.expires_after(
-                std::chrono::microseconds(std::max<Ticks>(1, ends_.wake() - clock_()) * 100));
+            timer_.expires_after(std::chrono::microseconds(
+                std::max<Ticks>(1, endpoint_selector_.next_available_at() - clock_()) * 100));
             co_await timer_.async_wait(as_tuple(use_awaitable));
             continue;
         }
         std::ostringstream address;
         address << endpoints_[at];
-        registrar_ = std::make_shared<etcd::Registrar>(lease_, own_, address.str(), token_, leaving_);
-        const std::string why = co_await pump_.run(endpoints_[at], registrar_, [this, at] {
+        registrar_ = std::make_shared<etcd::Registrar>(lease_, own_, address.str(), token_, unregistering_);
+        const std::string why = co_await connection_.run(endpoints_[at], registrar_, [this, at] {
             if (!lease_.key_written) return;
-            ends_.good(at);
-            if (!std::exchange(said_, true))
+            endpoint_selector_.record_success(at);
+            if (!std::exchange(registration_logged_, true))
                 log_.event(Level::info, "registry.own", {{"key", own_.key}, {"placed", "yes"}});
         });
         if (stopped_) co_return;
-        if (registrar_->over()) {
+        if (registrar_->finished()) {
             log_.event(Level::info, "registry.own", {{"key", own_.key}, {"left", "yes"}});
             co_return finish();
         }
-        ends_.bad(at, clock_());
-        said_ = false;
+        endpoint_selector_.record_failure(at, clock_());
+        registration_logged_ = false;
         log_.event(Level::info, "registry.own",
                    {{"key", own_.key}, {"endpoint", address.str()}, {"why", why}});
     }
--- a/src/membership/registration.hpp
+++ b/src/membership/registration.hpp
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "base/log.hpp"
+#include "membership/connection_driver.hpp"
 #include "membership/endpoints.hpp"
 #include "membership/etcd/registrar.hpp"
-#include "membership/pump.hpp"
 
 namespace pineridge::membership {
 
@@ -14,12 +14,12 @@
     // What is handed over by reference must outlive the registration. `tls` may be none. One thread.
     Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::LeasedKey own, std::string token,
                  tls::EngineFactory *tls, const Limits &limits, const Log &log, std::uint64_t seed,
-                 Pump::Clock clock);
+                 ConnectionDriver::Clock clock);
 
     void begin();
     // Takes the key away, within the told time for an answer at most; `done` is called once, then or after.
-    void leave(std::function<void()> done);
-    bool placed() const { return lease_.key_written; }
+    void unregister(std::function<void()> done);
+    bool registered() const { return lease_.key_written; }
 
   private:
     asio::awaitable<void> run();
@@ -30,14 +30,14 @@
     const etcd::LeasedKey own_;
     const std::string token_;
     const Log &log_;
-    const Pump::Clock clock_;
-    Endpoints ends_;
-    Pump pump_;
-    asio::steady_timer timer_, last_;
+    const ConnectionDriver::Clock clock_;
+    EndpointSelector endpoint_selector_;
+    ConnectionDriver connection_;
+    asio::steady_timer timer_, unregister_timer_;
     etcd::Registrar::LeaseState lease_;
     std::shared_ptr<etcd::Registrar> registrar_;
     std::function<void()> done_;
-    bool leaving_ = false, stopped_ = false, said_ = false;
+    bool unregistering_ = false, stopped_ = false, registration_logged_ = false;
 };
 
 } // namespace pineridge::membership
--- a/src/membership/value.cpp
+++ b/src/membership/value.cpp
@@ -5,12 +5,12 @@
 Record make_record(const ReadValue &read, std::string key, std::int64_t rev, std::string_view value) {
     Record record;
     record.key = std::move(key);
-    record.rev = rev;
+    record.revision = rev;
     try {
         record.member = read(record.key, value);
         record.value = value;
     } catch (const std::exception &bad) {
-        record.fault = bad.what();
+        record.error = bad.what();
     }
     return record;
 }
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -6,236 +6,239 @@
 
 namespace {
 
-constexpr std::size_t kMostLines = 256;
+constexpr std::size_t kMaxUnreadableLines = 256;
 
 } // namespace
 
-void View::clock(Ticks now) {
+void View::set_time(Ticks now) {
     now_ = std::max(now_, now);
     if (confirm_at_ >= 0 && now_ >= confirm_at_ && !reading_) {
         confirm_at_ = -1;
-        if (!doubted_.empty()) ask_ = Ask::whole;
+        if (!doubted_.empty()) next_action_ = NextAction::full_read;
     }
-    if (doubt_since_ < 0 || now_ < doubt_since_ + rules_.doubt_for) return;
-    lines_.push_back("doubt over: " + std::to_string(doubted_.size()) + " hosts gone for good");
-    let_go();
+    if (doubted_since_ < 0 || now_ < doubted_since_ + rules_.doubt_timeout) return;
+    log_lines_.push_back("doubt over: " + std::to_string(doubted_.size()) + " hosts gone for good");
+    remove_doubted();
 }
 
-void View::let_go() {
+void View::remove_doubted() {
     for (const std::string &key : std::exchange(doubted_, {})) remove(key);
-    doubt_since_ = -1;
+    doubted_since_ = -1;
 }
 
-void View::heard(std::int64_t rev) {
-    rev_ = std::max(rev_, rev);
-    told_at_ = now_;
-    ++words_;
-    lag_since_ = -1;
+void View::record_update(std::int64_t revision) {
+    revision_ = std::max(revision_, revision);
+    updated_at_ = now_;
+    ++update_count_;
+    behind_since_ = -1;
 }
 
 void View::start_from(const std::vector<Record> &known) {
     if (synced_) return;
     for (const Record &record : known) {
         Record old = record;
-        old.rev = 0; // whatever the registry tells is newer
+        old.revision = 0; // whatever the registry tells is newer
         put(old);
     }
 }
 
 void View::begin_read() {
     reading_ = true;
-    read_.clear();
-    meanwhile_.clear();
+    read_records_.clear();
+    pending_changes_.clear();
 }
 
-void View::drop_read() {
+void View::abort_read() {
     reading_ = false;
-    read_.clear();
+    read_records_.clear();
     // What was told beside it counts.
-    for (const Record &record : std::exchange(meanwhile_, {})) change(record);
-    ask_ = Ask::whole;
+    for (const Record &record : std::exchange(pending_changes_, {})) apply_change(record);
+    next_action_ = NextAction::full_read;
 }
 
-void View::page(const std::vector<Record> &records) {
+void View::add_page(const std::vector<Record> &records) {
     if (!reading_) return;
     for (const Record &record : records)
-        if (read_.size() < rules_.most) read_[record.key] = record;
+        if (read_records_.size() < rules_.max_hosts) read_records_[record.key] = record;
 }
 
-bool View::lags(std::int64_t rev) {
-    if (rev >= rev_) return false;
-    if (lag_since_ < 0) lag_since_ = now_;
-    if (now_ - lag_since_ < rules_.lag_for) {
-        lines_.push_back("a member that lags: revision " + std::to_string(rev) + " below " +
-                         std::to_string(rev_));
+bool View::is_behind(std::int64_t revision) {
+    if (revision >= revision_) return false;
+    if (behind_since_ < 0) behind_since_ = now_;
+    if (now_ - behind_since_ < rules_.max_lag_time) {
+        log_lines_.push_back("a member that lags: revision " + std::to_string(revision) + " below " +
+                             std::to_string(revision_));
         return true;
     }
-    lines_.push_back("the registry counts anew: revision " + std::to_string(rev) + " after " +
-                     std::to_string(rev_));
-    rev_ = 0;
-    for (auto &[key, held] : held_) held.record.rev = 0, held.recounted = true;
-    gone_.clear();
+    log_lines_.push_back("the registry counts anew: revision " + std::to_string(revision) + " after " +
+                         std::to_string(revision_));
+    revision_ = 0;
+    for (auto &[key, held] : entries_) held.record.revision = 0, held.before_reset = true;
+    deleted_.clear();
     return false;
 }
 
-void View::end_read(std::int64_t rev) {
+void View::end_read(std::int64_t revision) {
     if (!std::exchange(reading_, false)) return;
-    if (lags(rev)) {
-        read_.clear();
-        for (const Record &record : std::exchange(meanwhile_, {})) change(record);
-        ask_ = Ask::elsewhere;
+    if (is_behind(revision)) {
+        read_records_.clear();
+        for (const Record &record : std::exchange(pending_changes_, {})) apply_change(record);
+        next_action_ = NextAction::change_endpoint;
         return;
     }
-    const std::map<std::string, Record> read = std::exchange(read_, {});
+    const std::map<std::string, Record> read = std::exchange(read_records_, {});
     std::set<std::string> lacking;
     std::size_t usable = 0;
-    for (const auto &[key, held] : held_) {
+    for (const auto &[key, held] : entries_) {
         usable += held.record.member.has_value();
-        if (!read.count(key) && held.record.rev <= rev) lacking.insert(key);
+        if (!read.count(key) && held.record.revision <= revision) lacking.insert(key);
     }
     for (const auto &[key, record] : read) {
-        const auto gone = gone_.find(key);
-        if (gone != gone_.end() && gone->second >= record.rev) continue; // told gone by a word that is newer
-        if (!record.same) put(record);
+        const auto gone = deleted_.find(key);
+        if (gone != deleted_.end() && gone->second >= record.revision)
+            continue; // told gone by a word that is newer
+        if (!record.unchanged) put(record);
     }
-    gone_.clear();
+    deleted_.clear();
     // Stops a registry that came back empty, or half, from emptying the fleet; costs the told time when it is
     // true.
-    const bool many = lacking.size() >= rules_.doubt_least &&
+    const bool many = lacking.size() >= rules_.min_doubted_hosts &&
                       static_cast<double>(lacking.size()) >= rules_.doubt_share * static_cast<double>(usable);
-    const bool confirmed = doubt_since_ >= 0 && now_ - doubt_since_ >= rules_.confirm_after &&
+    const bool confirmed = doubted_since_ >= 0 && now_ - doubted_since_ >= rules_.confirm_after &&
                            std::includes(doubted_.begin(), doubted_.end(), lacking.begin(), lacking.end());
     if (!many || confirmed) {
         doubted_ = lacking;
-        let_go();
+        remove_doubted();
     } else {
-        if (doubt_since_ < 0) doubt_since_ = now_;
-        lines_.push_back("doubt: " + std::to_string(lacking.size()) + " of " + std::to_string(usable) +
-                         " hosts missing at revision " + std::to_string(rev));
+        if (doubted_since_ < 0) doubted_since_ = now_;
+        log_lines_.push_back("doubt: " + std::to_string(lacking.size()) + " of " + std::to_string(usable) +
+                             " hosts missing at revision " + std::to_string(revision));
         doubted_ = std::move(lacking);
         confirm_at_ = now_ + rules_.confirm_after;
     }
-    heard(rev);
+    record_update(revision);
     synced_ = true;
-    for (const Record &record : std::exchange(meanwhile_, {})) change(record);
-    ask_ = Ask::resume;
+    for (const Record &record : std::exchange(pending_changes_, {})) apply_change(record);
+    next_action_ = NextAction::resume_watch;
 }
 
-void View::change(const Record &record) {
+void View::apply_change(const Record &record) {
     if (reading_) {
         // A drain is honoured at once, whatever is being read; the rest is sorted in when the read has ended.
-        if (meanwhile_.size() < rules_.most) meanwhile_.push_back(record);
-        const auto at = held_.find(record.key);
+        if (pending_changes_.size() < rules_.max_hosts) pending_changes_.push_back(record);
+        const auto at = entries_.find(record.key);
         const bool narrows =
-            record.gone || (record.member && record.member->entry.status != HostStatus::ready);
-        if (at == held_.end() || !narrows) return;
+            record.deleted || (record.member && record.member->entry.status != HostStatus::ready);
+        if (at == entries_.end() || !narrows) return;
     }
-    const auto at = held_.find(record.key);
-    if (at != held_.end() && record.rev <= at->second.record.rev) return;
-    const auto gone = gone_.find(record.key);
-    if (at == held_.end() && gone != gone_.end() && record.rev <= gone->second) return;
-    heard(record.rev);
+    const auto at = entries_.find(record.key);
+    if (at != entries_.end() && record.revision <= at->second.record.revision) return;
+    const auto gone = deleted_.find(record.key);
+    if (at == entries_.end() && gone != deleted_.end() && record.revision <= gone->second) return;
+    record_update(record.revision);
     doubted_.erase(record.key);
-    if (doubted_.empty()) doubt_since_ = -1;
-    if (!record.gone) return put(record);
-    gone_[record.key] = record.rev;
-    if (gone_.size() > rules_.most) gone_.erase(gone_.begin());
+    if (doubted_.empty()) doubted_since_ = -1;
+    if (!record.deleted) return put(record);
+    deleted_[record.key] = record.revision;
+    if (deleted_.size() > rules_.max_hosts) deleted_.erase(deleted_.begin());
     remove(record.key);
 }
 
-void View::progress(std::int64_t rev) { heard(rev); }
+void View::record_progress(std::int64_t revision) { record_update(revision); }
 
-void View::broken() {
-    if (reading_) return drop_read();
-    ask_ = synced_ ? Ask::resume : Ask::whole;
+void View::watch_ended() {
+    if (reading_) return abort_read();
+    next_action_ = synced_ ? NextAction::resume_watch : NextAction::full_read;
 }
 
-void View::compacted() {
-    lines_.push_back("resume from " + std::to_string(rev_ + 1) + " is compacted: reading the whole");
-    ask_ = Ask::whole;
+void View::watch_compacted() {
+    log_lines_.push_back("resume from " + std::to_string(revision_ + 1) + " is compacted: reading the whole");
+    next_action_ = NextAction::full_read;
 }
 
-void View::missed(const std::string &what) {
-    lines_.push_back("the watch has missed " + what + ": reading the whole");
-    ask_ = Ask::whole;
+void View::watch_missed(const std::string &what) {
+    log_lines_.push_back("the watch has missed " + what + ": reading the whole");
+    next_action_ = NextAction::full_read;
 }
 
 std::int64_t View::revision_of(const std::string &key) const {
-    const auto at = held_.find(key);
-    const auto faulty = faulty_.find(key);
-    return std::max(at == held_.end() ? 0 : at->second.record.rev,
-                    faulty == faulty_.end() ? 0 : faulty->second);
+    const auto at = entries_.find(key);
+    const auto faulty = unreadable_keys_.find(key);
+    return std::max(at == entries_.end() ? 0 : at->second.record.revision,
+                    faulty == unreadable_keys_.end() ? 0 : faulty->second);
 }
 
-void View::member_at(std::int64_t rev) {
-    if (rev < rev_) ask_ = lags(rev) ? Ask::elsewhere : Ask::whole;
+void View::check_member_revision(std::int64_t revision) {
+    if (revision < revision_)
+        next_action_ = is_behind(revision) ? NextAction::change_endpoint : NextAction::full_read;
 }
 
-void View::name_fault(const Record &record) {
-    ++unreadable_;
-    const bool named = faulty_.count(record.key) > 0;
-    faulty_[record.key] = record.rev;
-    if (!named && lines_.size() < kMostLines)
-        lines_.push_back("unreadable: " + record.key + ": " + record.fault);
-    if (faulty_.size() > rules_.most) faulty_.erase(faulty_.begin());
+void View::report_unreadable(const Record &record) {
+    ++unreadable_count_;
+    const bool named = unreadable_keys_.count(record.key) > 0;
+    unreadable_keys_[record.key] = record.revision;
+    if (!named && log_lines_.size() < kMaxUnreadableLines)
+        log_lines_.push_back("unreadable: " + record.key + ": " + record.error);
+    if (unreadable_keys_.size() > rules_.max_hosts) unreadable_keys_.erase(unreadable_keys_.begin());
 }
 
 void View::put(const Record &record) {
-    const auto at = held_.find(record.key);
+    const auto at = entries_.find(record.key);
     if (!record.member) {
-        name_fault(record);
-        if (at != held_.end()) at->second.record.rev = std::max(at->second.record.rev, record.rev);
+        report_unreadable(record);
+        if (at != entries_.end())
+            at->second.record.revision = std::max(at->second.record.revision, record.revision);
         return;
     }
-    faulty_.erase(record.key);
-    if (at == held_.end()) {
-        if (held_.size() >= rules_.most)
-            return name_fault({record.key, record.rev, false, {}, "over the bound of hosts"});
-        held_[record.key] = {record, false};
-        return note(record.key);
+    unreadable_keys_.erase(record.key);
+    if (at == entries_.end()) {
+        if (entries_.size() >= rules_.max_hosts)
+            return report_unreadable({record.key, record.revision, false, {}, "over the bound of hosts"});
+        entries_[record.key] = {record, false};
+        return mark_changed(record.key);
     }
-    if (record.rev < at->second.record.rev) return;
+    if (record.revision < at->second.record.revision) return;
     doubted_.erase(record.key);
     HostEntry before = at->second.record.member->entry;
-    const bool anew = std::exchange(at->second.recounted, false);
+    const bool anew = std::exchange(at->second.before_reset, false);
     at->second.record = record;
     HostEntry &entry = at->second.record.member->entry;
     if (anew && before.status == HostStatus::draining && before.started == entry.started)
         entry.status = before.status;
-    note(record.key);
+    mark_changed(record.key);
 }
 
 void View::remove(const std::string &key) {
-    const auto at = held_.find(key);
-    if (at == held_.end()) return;
+    const auto at = entries_.find(key);
+    if (at == entries_.end()) return;
     if (at->second.listed) {
-        left_.push_back(at->second.record.member->entry);
-        left_.back().status = HostStatus::gone;
+        removed_hosts_.push_back(at->second.record.member->entry);
+        removed_hosts_.back().status = HostStatus::gone;
     }
-    held_.erase(at);
-    dirty_.erase(key);
+    entries_.erase(at);
+    changed_.erase(key);
 }
 
-void View::note(const std::string &key) { dirty_.insert(key); }
+void View::mark_changed(const std::string &key) { changed_.insert(key); }
 
-std::optional<Listing> View::take() {
-    if (dirty_.empty() && left_.empty()) return std::nullopt;
+std::optional<Listing> View::take_listing() {
+    if (changed_.empty() && removed_hosts_.empty()) return std::nullopt;
     Listing listing;
-    for (HostEntry &entry : left_) listing.members.push_back({std::move(entry), {}});
-    left_.clear();
-    for (const std::string &key : std::exchange(dirty_, {})) {
-        Held &held = held_.at(key);
+    for (HostEntry &entry : removed_hosts_) listing.members.push_back({std::move(entry), {}});
+    removed_hosts_.clear();
+    for (const std::string &key : std::exchange(changed_, {})) {
+        Entry &held = entries_.at(key);
         held.listed = true;
         listing.members.push_back(*held.record.member);
     }
     return listing;
 }
 
-Ask View::ask() { return std::exchange(ask_, Ask::nothing); }
+NextAction View::take_next_action() { return std::exchange(next_action_, NextAction::none); }
 
 std::vector<Record> View::records() const {
     std::vector<Record> all;
-    for (const auto &[key, held] : held_) all.push_back(held.record);
+    for (const auto &[key, held] : entries_) all.push_back(held.record);
     return all;
 }
 
--- a/src/router/config.cpp
+++ b/src/router/config.cpp
@@ -192,7 +192,7 @@
     config.registry = settings.registry;
     if (config.registry)
         config.registry_access =
-            std::make_shared<membership::Access>(membership::make_access(*config.registry));
+            std::make_shared<membership::RegistryAccess>(membership::make_registry_access(*config.registry));
     config.release = settings.release;
     if (settings.admission) {
         config.admission = std::make_shared<const AdmissionSettings>(*settings.admission);
--- a/src/router/config.hpp
+++ b/src/router/config.hpp
@@ -33,7 +33,7 @@
     // Discovery is an agent on this machine to which changes are pushed. What it holds counts as received.
     bool has_local_discovery_agent = false;
     std::optional<RegistrySettings> registry{}; // provides the host list instead of discovery
-    std::shared_ptr<membership::Access> registry_access{}; // the registry's endpoints and credentials
+    std::shared_ptr<membership::RegistryAccess> registry_access{}; // the registry's endpoints and credentials
     std::shared_ptr<const AdmissionSettings>
         admission{}; // none: connections are limited only by the descriptors
     // Reads the settings file again; throws as the first read does. May be called on any thread.
--- a/src/router/driver.cpp
+++ b/src/router/driver.cpp
@@ -143,7 +143,7 @@
     const auto finish_one = [remaining, done = std::move(done)] {
         if (--*remaining == 0) done();
     };
-    registration_->leave(finish_one);
+    registration_->unregister(finish_one);
     clients_.shut_down(finish_one);
 }
 
@@ -421,10 +421,10 @@
             throw_field_error("state", "terminated, but a registered host is draining or in service");
         return host;
     };
-    membership::Access &access = *config_.registry_access;
+    membership::RegistryAccess &access = *config_.registry_access;
     registry_.emplace(
-        io_, membership::make_plot(*config_.registry, access, read, config_.seed), read, config_.limits, log_,
-        config_.seed, [this] { return current_time(); },
+        io_, membership::make_source_options(*config_.registry, access, read, config_.seed), read,
+        config_.limits, log_, config_.seed, [this] { return current_time(); },
         [this](const membership::Listing &listing) { handle_host_list(listing); });
     registry_->begin();
     if (config_.registry->registration_key.empty()) return;
--- a/src/router/list/watch.cpp
+++ b/src/router/list/watch.cpp
@@ -13,17 +13,17 @@
 
 LeaseRules lease_rules(const RouterConfig &config) {
     const Limits &limits = config.limits;
-    return {.told_after = limits.list_lease,
+    return {.delivery_time = limits.list_lease,
             .watch_overrun = limits.list_watch_overrun,
-            .moved_told = limits.list_move_delay,
-            .partial_told = limits.list_partial_answer,
+            .move_delay = limits.list_move_delay,
+            .partial_answer = limits.list_partial_answer,
             .transit = limits.list_transit,
-            .stands_after = std::min(limits.list_watch_accepted, limits.list_lease * 5 / 6),
-            .line_full = limits.list_queue_full,
-            .line_least = limits.list_min_queue_wait,
-            .outage_lasts = limits.list_outage,
-            .outage_goes_on = limits.list_outage_extension,
-            .lapses_on_failure = !config.has_local_discovery_agent};
+            .watch_accepted = std::min(limits.list_watch_accepted, limits.list_lease * 5 / 6),
+            .queue_full = limits.list_queue_full,
+            .min_queue_wait = limits.list_min_queue_wait,
+            .outage_duration = limits.list_outage,
+            .outage_extension = limits.list_outage_extension,
+            .expires_on_failure = !config.has_local_discovery_agent};
 }
 
 } // namespace
@@ -36,7 +36,7 @@
       random_(static_cast<std::uint32_t>(config.seed)), lease_timer_(io), accepted_timer_(io),
       pause_timer_(io) {
     link_.on_first_byte([this] {
-        lease_.answer_begun(Clock::now());
+        lease_.answer_started(Clock::now());
         update_lease();
     });
 }
@@ -51,7 +51,7 @@
     log_(Level::info, "list: discovery is at ", address, " now");
     ++address_changes_;
     immediate_ = true;
-    lease_.moved(Clock::now());
+    lease_.address_changed(Clock::now());
     update_lease();
     pause_timer_.cancel();
     start();
@@ -60,7 +60,7 @@
 // --- the lease ---
 
 void Watch::update_lease() {
-    const Clock::time_point until = lease_.expires();
+    const Clock::time_point until = lease_.expires_at();
     const Clock::time_point outage_until = lease_.outage_until();
     if (until == lease_until_ && outage_until == outage_until_) return;
     lease_until_ = until;
@@ -71,12 +71,13 @@
 
 void Watch::log_lease_expiry() {
     const auto now = Clock::now();
-    if (lease_.holds(now) && std::exchange(logged_expiry_, false)) log_(Level::info, "list: lease renewed");
+    if (lease_.is_valid(now) && std::exchange(logged_expiry_, false))
+        log_(Level::info, "list: lease renewed");
     lease_timer_.cancel();
     if (lease_until_ == Clock::time_point::max() || logged_expiry_) return;
     lease_timer_.expires_at(std::max(now, lease_until_));
     lease_timer_.async_wait([this](boost::system::error_code failed) {
-        if (failed || lease_.holds(Clock::now()) || std::exchange(logged_expiry_, true)) return;
+        if (failed || lease_.is_valid(Clock::now()) || std::exchange(logged_expiry_, true)) return;
         const bool outage = Clock::now() <= outage_until_;
         log_(Level::warning, "list: overdue, lease expired: ",
              outage ? "discovery is presumed down, RPCs go only to hosts with no reason to drain"
@@ -87,7 +88,7 @@
 asio::awaitable<void> Watch::wait_for_lease(Milliseconds timeout) {
     const auto until = Clock::now() + timeout;
     asio::steady_timer timer(io_);
-    while (!lease_.holds(Clock::now()) && Clock::now() < until) {
+    while (!lease_.is_valid(Clock::now()) && Clock::now() < until) {
         timer.expires_after(std::chrono::milliseconds(5));
         co_await timer.async_wait(asio::use_awaitable);
     }
@@ -165,13 +166,13 @@
 CallFailure Watch::to_call_failure(Outcome outcome) {
     switch (outcome) {
     case Outcome::refused: return CallFailure::refused;
-    case Outcome::unreachable: return CallFailure::unreached;
-    case Outcome::timed_out: return CallFailure::silent;
+    case Outcome::unreachable: return CallFailure::connect_failed;
+    case Outcome::timed_out: return CallFailure::timed_out;
     case Outcome::malformed: return CallFailure::unreadable;
     case Outcome::connection_lost:
     case Outcome::accepted: break;
     }
-    return CallFailure::broken;
+    return CallFailure::connection_lost;
 }
 
 asio::awaitable<Watch::Result> Watch::send_query(const Query &query) {
@@ -192,9 +193,9 @@
                               : Result{Outcome::connection_lost, "the address of discovery has changed"};
     const auto ended = Clock::now();
     if (result.outcome == Outcome::accepted)
-        lease_.answered();
+        lease_.call_succeeded();
     else
-        lease_.failed(to_call_failure(result.outcome), ended);
+        lease_.call_failed(to_call_failure(result.outcome), ended);
     update_lease();
     const auto duration = std::chrono::duration_cast<Milliseconds>(ended - started);
     log_(Level::debug, "list: call ", call_count_, " ended: ",
@@ -212,12 +213,12 @@
         query.immediate ? limits.list_full_timeout : query.wait + limits.list_poll_grace;
     const bool is_watch = !query.immediate;
     log_(Level::debug, "list: call ", ++call_count_, " ", path);
-    lease_.asked(Clock::now(), is_watch ? std::optional(query.wait) : std::nullopt);
+    lease_.call_started(Clock::now(), is_watch ? std::optional(query.wait) : std::nullopt);
     if (is_watch) {
-        accepted_timer_.expires_after(lease_.stands_after());
+        accepted_timer_.expires_after(lease_.watch_accepted_after());
         accepted_timer_.async_wait([this](boost::system::error_code failed) {
             if (failed) return;
-            lease_.still_open(Clock::now());
+            lease_.watch_still_open(Clock::now());
             update_lease();
         });
     }
@@ -263,18 +264,18 @@
     std::vector<membership::Record> records;
     for (const membership::Member &host : response.hosts)
         records.push_back({.key = host.entry.id,
-                           .rev = answer_count_,
-                           .gone = host.entry.status == HostStatus::gone,
+                           .revision = answer_count_,
+                           .deleted = host.entry.status == HostStatus::gone,
                            .member = host});
     if (response.complete) {
-        std::erase_if(records, [](const membership::Record &record) { return record.gone; });
+        std::erase_if(records, [](const membership::Record &record) { return record.deleted; });
         view_.begin_read();
-        view_.page(records);
+        view_.add_page(records);
         view_.end_read(answer_count_);
     } else {
-        for (const membership::Record &record : records) view_.change(record);
+        for (const membership::Record &record : records) view_.apply_change(record);
     }
-    on_list_(view_.take().value_or(membership::Listing{}));
+    on_list_(view_.take_listing().value_or(membership::Listing{}));
 }
 
 } // namespace pineridge::router::list
--- a/tests/membership/blocking_test.cpp
+++ b/tests/membership/blocking_test.cpp
@@ -70,8 +70,8 @@
                       now);
     }
     std::string next_query() { // after the gap between queries
-        view.clock(now += 600);
-        follower.clock(now);
+        view.set_time(now += 600);
+        follower.set_time(now);
         return follower.output();
     }
     View view{{}};
@@ -96,16 +96,16 @@
     const std::string restarted = fixture.follower.output();
     assert(restarted.find("recurse=true HTTP/1.1") != std::string::npos);
     fixture.answer("4", kOneEntry); // the member does lag: its answer is not used
-    assert(fixture.follower.dead() &&
-           fixture.follower.why() == "registry member lags behind the known revision");
+    assert(fixture.follower.has_failed() &&
+           fixture.follower.failure() == "registry member lags behind the known revision");
 }
 
 void invalid_answers_fail_the_connection() {
     const auto failure_of = [](const std::string &bytes) {
         FollowerFixture fixture;
         fixture.follower.feed(bytes, 1);
-        if (!fixture.follower.dead()) fixture.follower.ended();
-        return fixture.follower.why();
+        if (!fixture.follower.has_failed()) fixture.follower.connection_closed();
+        return fixture.follower.failure();
     };
     const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n";
     assert(failure_of("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n") == "status 500");
@@ -120,8 +120,8 @@
     assert(failure_of(head + "X-Consul-Index: 5\r\n\r\n[]HTTP/1.1 200 OK\r\n") ==
            "registry member closes the connection");
     FollowerFixture silent;
-    silent.follower.clock(20000);
-    assert(silent.follower.why() == "blocking query not answered in time");
+    silent.follower.set_time(20000);
+    assert(silent.follower.failure() == "blocking query not answered in time");
 }
 
 // Tests on loopback.
@@ -131,21 +131,21 @@
         for (int i = 0; i < registries; ++i) registries_.push_back(std::make_unique<BlockingRegistry>(io));
         for (const auto &registry : registries_)
             for (const char *id : {"a", "b", "c", "d"}) registry->put(key(id), host_value("in_service"));
-        Plot plot;
+        SourceOptions options;
         for (const auto &registry : registries_)
-            plot.endpoints.push_back(read_address(registry->address(), "endpoint"));
-        plot.prefix = "hosts/";
-        plot.protocol = "http/1.1";
-        plot.quiet = 4000;
-        plot.ends = {500, 2000, 0};
-        plot.view.doubt_for = 20000;
-        plot.view.confirm_after = 3000;
-        plot.view.lag_for = 6000;
-        plot.follow = [](View &view, const std::string &authority) {
+            options.endpoints.push_back(read_address(registry->address(), "endpoint"));
+        options.prefix = "hosts/";
+        options.protocol = "http/1.1";
+        options.stale_after = 4000;
+        options.endpoint_rules = {500, 2000, 0};
+        options.view_rules.doubt_timeout = 20000;
+        options.view_rules.confirm_after = 3000;
+        options.view_rules.max_lag_time = 6000;
+        options.make_protocol = [](View &view, const std::string &authority) {
             return std::make_shared<blocking::Follower>(view, read_value, "hosts/", authority, "",
                                                         blocking::Timing{5000, 3000, 100, 50000}, 5);
         };
-        begin(std::move(plot));
+        begin(std::move(options));
         until_list("a+b+c+d+");
         until([&] { return blocked() > 0; });
     }
@@ -172,17 +172,17 @@
     fixture.registry().put(BlockingFixture::key("c"), "{no json");
     fixture.registry().put(BlockingFixture::key("d"), host_value("terminating"));
     fixture.until_list("a+c+d-");
-    assert(fixture.said("unreadable: hosts/c"));
+    assert(fixture.has_logged("unreadable: hosts/c"));
     const int queries_before = fixture.registry().queries();
     // The wait of a query runs out without a change.
     fixture.until([&] { return fixture.registry().queries() > queries_before + 1; });
-    assert(fixture.text() == "a+c+d-");
+    assert(fixture.list_text() == "a+c+d-");
 }
 
 void broken_connections_are_replaced_and_partial_answers_discarded() {
     BlockingFixture fixture;
     fixture.registry().stop();
-    fixture.until([&] { return fixture.said("registry.left"); });
+    fixture.until([&] { return fixture.has_logged("registry.left"); });
     fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
     fixture.registry().truncate_next_answer(420); // the answer ends in the middle of its entries
     fixture.registry().start();
@@ -197,7 +197,7 @@
     BlockingFixture fixture;
     fixture.registry().mute(true);
     fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
-    fixture.until([&] { return fixture.said("blocking query not answered in time"); });
+    fixture.until([&] { return fixture.has_logged("blocking query not answered in time"); });
     fixture.registry().mute(false);
     fixture.until_list("a-b+c+d+");
 }
@@ -208,7 +208,8 @@
     fixture.registry(followed).set_header("X-Consul-KnownLeader", "false");
     for (int i : {0, 1}) fixture.registry(i).put(BlockingFixture::key("a"), host_value("terminating"));
     fixture.until_list("a-b+c+d+");
-    assert(fixture.said("registry member has no leader") && fixture.registry(1 - followed).queries() > 0);
+    assert(fixture.has_logged("registry member has no leader") &&
+           fixture.registry(1 - followed).queries() > 0);
 }
 
 // The next member lags behind the one that failed. Its older list must not make a draining host ready again.
@@ -219,8 +220,8 @@
     for (int i : {0, 1}) fixture.registry(i).put(BlockingFixture::key("a"), host_value("terminating"));
     fixture.until_list("a-b+c+d+");
     fixture.registry(followed).stop();
-    fixture.until([&] { return fixture.said("registry member lags behind the known revision"); });
-    assert(fixture.text() == "a-b+c+d+");
+    fixture.until([&] { return fixture.has_logged("registry member lags behind the known revision"); });
+    assert(fixture.list_text() == "a-b+c+d+");
     fixture.registry(1 - followed).lag(false);
     fixture.registry(1 - followed).put(BlockingFixture::key("b"), host_value("terminating"));
     fixture.until_list("a-b-c+d+");
@@ -233,8 +234,8 @@
     fixture.registry().stop();
     fixture.registry().lose_data();
     fixture.registry().start();
-    fixture.until([&] { return fixture.said("doubt: 4 of 4"); });
-    assert(fixture.said("counts anew") && fixture.text() == "a+b+c+d+");
+    fixture.until([&] { return fixture.has_logged("doubt: 4 of 4"); });
+    assert(fixture.has_logged("counts anew") && fixture.list_text() == "a+b+c+d+");
     // A change of a single key is not doubted.
     fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
     fixture.until([&] { return fixture.list["a"] == HostStatus::draining; });
--- a/tests/membership/fleet.hpp
+++ b/tests/membership/fleet.hpp
@@ -20,27 +20,27 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now() - began).count() / 100;
 }
 
-class Fleet {
+class SourceFleet {
   public:
-    Fleet(standins::Registry &registry, int routers, int loops, Ticks spread)
+    SourceFleet(standins::Registry &registry, int routers, int loops, Ticks spread)
         : registry_(registry), log_(logged_, "fleet", Level::error) {
         for (int i = 0; i < loops; ++i) loops_.push_back(std::make_unique<Loop>());
         for (int i = 0; i < routers; ++i) {
             Loop &loop = *loops_[static_cast<std::size_t>(i % loops)];
-            Plot plot;
-            plot.endpoints = {read_address(registry.address(), "endpoint")};
-            plot.prefix = "/hosts/";
-            plot.ends.spread = spread;
-            plot.ends.rest_most = 2000;
-            plot.view.most = 50000;
-            plot.quiet = 0;
-            plot.follow = [](View &view, const std::string &authority) {
+            SourceOptions options;
+            options.endpoints = {read_address(registry.address(), "endpoint")};
+            options.prefix = "/hosts/";
+            options.endpoint_rules.read_spread = spread;
+            options.endpoint_rules.max_backoff = 2000;
+            options.view_rules.max_hosts = 50000;
+            options.stale_after = 0;
+            options.make_protocol = [](View &view, const std::string &authority) {
                 return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "",
                                                         etcd::Timing{200000, 10000, 100000, 1000000}, 500);
             };
             auto &source = loop.sources.emplace_back();
             source = std::make_unique<Source>(
-                loop.io, std::move(plot), read_value, limits_, log_, static_cast<std::uint64_t>(i) + 1,
+                loop.io, std::move(options), read_value, limits_, log_, static_cast<std::uint64_t>(i) + 1,
                 [began = began_] { return ticks_since(began); }, [this](const Listing &told) { take(told); });
             source->begin();
         }
@@ -49,7 +49,7 @@
                 while (!one->over) one->io.run_for(std::chrono::milliseconds(20));
             });
     }
-    ~Fleet() {
+    ~SourceFleet() {
         for (const auto &loop : loops_) {
             boost::asio::post(loop->io, [one = loop.get()] {
                 for (const auto &source : one->sources) source->stop();
@@ -67,15 +67,15 @@
     void ready(const std::string &id) {
         registry_.put("/hosts/" + id, R"({"state":"in_service","started_ms":0})");
     }
-    std::vector<Ticks> take_times() {
+    std::vector<Ticks> take_drain_delays() {
         const std::lock_guard hold(lock_);
-        return std::exchange(times_, {});
+        return std::exchange(drain_delays_, {});
     }
-    std::size_t told() const { return told_; } // entries, in all views
-    std::size_t bytes() const {
+    std::size_t received_entries() const { return received_entries_; } // entries, in all views
+    std::size_t received_bytes() const {
         std::size_t all = 0;
         for (const auto &loop : loops_)
-            for (const auto &source : loop->sources) all += source->heard();
+            for (const auto &source : loop->sources) all += source->received_bytes();
         return all;
     }
 
@@ -87,11 +87,11 @@
         std::atomic<bool> over{false};
     };
     void take(const Listing &listing) {
-        told_ += listing.members.size();
+        received_entries_ += listing.members.size();
         for (const Member &member : listing.members)
             if (member.entry.status == HostStatus::draining) {
                 const std::lock_guard hold(lock_);
-                times_.push_back(ticks_since(began_) - member.entry.started);
+                drain_delays_.push_back(ticks_since(began_) - member.entry.started);
             }
     }
 
@@ -102,8 +102,8 @@
     Log log_;
     std::vector<std::unique_ptr<Loop>> loops_;
     std::mutex lock_;
-    std::vector<Ticks> times_;
-    std::atomic<std::size_t> told_{0};
+    std::vector<Ticks> drain_delays_;
+    std::atomic<std::size_t> received_entries_{0};
 };
 
 } // namespace pineridge::membership
--- a/tests/membership/fleet_test.cpp
+++ b/tests/membership/fleet_test.cpp
@@ -18,7 +18,7 @@
         words.push_back(
             {0, "/hosts/h" + std::to_string(i), R"({"state":"in_service","started_ms":0})", false});
     registry.write(words);
-    Fleet fleet(registry, kRouters, 2, 0);
+    SourceFleet fleet(registry, kRouters, 2, 0);
     const auto until = [&](const std::function<bool()> &held) {
         const auto end = Clock::now() + std::chrono::seconds(60);
         while (!held()) {
@@ -26,13 +26,15 @@
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
     };
-    until([&] { return fleet.told() == std::size_t{kHosts} * kRouters && registry.watches() >= kRouters; });
+    until([&] {
+        return fleet.received_entries() == std::size_t{kHosts} * kRouters && registry.watches() >= kRouters;
+    });
     for (int i = 0; i < kChanges; ++i) {
         fleet.ready("h" + std::to_string(i * 7 % 500));
         if (i % (kChanges / kDrains) == 0) fleet.drain("h" + std::to_string(500 + i));
         if (i == kChanges / 2) registry.cancel_streams();
     }
     std::size_t seen = 0;
-    until([&] { return (seen += fleet.take_times().size()) >= std::size_t{kDrains} * kRouters; });
+    until([&] { return (seen += fleet.take_drain_delays().size()) >= std::size_t{kDrains} * kRouters; });
     assert(seen == std::size_t{kDrains} * kRouters); // each once in each view
 }
--- a/tests/membership/own_key_test.cpp
+++ b/tests/membership/own_key_test.cpp
@@ -25,7 +25,7 @@
                     });
     }
     ~World() {
-        if (!left) own->leave([this] { left = true; });
+        if (!left) own->unregister([this] { left = true; });
         until([&] { return left; });
         io.run_for(std::chrono::milliseconds(50));
     }
@@ -49,10 +49,10 @@
 void the_key_is_placed_renewed_and_taken_away() {
     World world;
     world.own->begin();
-    world.until([&] { return world.there() && world.own->placed(); });
+    world.until([&] { return world.there() && world.own->registered(); });
     assert(world.registry.entries().at(kKey) == "here" && world.registry.leases() == 1);
     world.until([&] { return world.registry.renewals() >= 3; });
-    world.own->leave([&] { world.left = true; });
+    world.own->unregister([&] { world.left = true; });
     world.until([&] { return world.left; });
     assert(!world.there() && world.registry.leases() == 0);
 }
@@ -94,7 +94,7 @@
     world.registry.mute(true);
     world.until([&] { return world.logged.str().find("no answer") != std::string::npos; });
     world.registry.stop();
-    world.own->leave([&] { world.left = true; });
+    world.own->unregister([&] { world.left = true; });
     world.until([&] { return world.left; });
     assert(world.logged.str().find("left=unknown") != std::string::npos);
 }
--- a/tests/membership/property_test.cpp
+++ b/tests/membership/property_test.cpp
@@ -39,15 +39,15 @@
 void write(Registry &registry, const Move &move) {
     Record record;
     record.key = "h" + std::to_string(move.host);
-    record.rev = ++registry.rev;
+    record.revision = ++registry.rev;
     if (move.way < 2) {
         if (!registry.held.erase(record.key)) {
             --registry.rev;
             return;
         }
-        record.gone = true;
+        record.deleted = true;
     } else if (move.way == 2) {
-        record.fault = "spoilt";
+        record.error = "spoilt";
         registry.held[record.key] = record;
     } else {
         const HostStatus standing = move.way < 5 ? HostStatus::draining : HostStatus::ready;
@@ -61,7 +61,7 @@
 using Module = std::map<std::string, std::pair<HostStatus, Ticks>>;
 
 void take(View &view, Module &module) {
-    while (const auto listing = view.take())
+    while (const auto listing = view.take_listing())
         for (const Member &member : listing->members) {
             if (member.entry.status == HostStatus::gone)
                 module.erase(member.entry.id);
@@ -72,12 +72,12 @@
 
 void play(const std::vector<Move> &history) {
     ViewRules rules;
-    rules.doubt_for = 5000;
+    rules.doubt_timeout = 5000;
     View view(rules);
     Registry registry;
     Module module;
     Ticks now = 1000;
-    view.clock(now);
+    view.set_time(now);
     std::vector<Registry> past;
     std::optional<Registry> reading; // a read in pages goes on at this state
     std::vector<std::string> pages; // keys still to be told
@@ -92,7 +92,7 @@
     const auto end_read = [&] {
         std::vector<Record> rest;
         for (const std::string &key : pages) rest.push_back(reading->held.at(key));
-        view.page(rest);
+        view.add_page(rest);
         const std::int64_t rev = reading->rev;
         view.end_read(rev);
         reading.reset();
@@ -108,34 +108,34 @@
             start_read(lags ? past[past.size() - 3] : registry);
         } else if (move.kind == 6 && reading) {
             for (int i = 0; i < 2 && !pages.empty(); ++i) {
-                view.page({reading->held.at(pages.back())});
+                view.add_page({reading->held.at(pages.back())});
                 pages.pop_back();
             }
         } else if (move.kind == 7 && reading) {
             end_read();
-            const Ask ask = view.ask();
-            if (ask == Ask::resume) {
+            const NextAction action = view.take_next_action();
+            if (action == NextAction::resume_watch) {
                 // The watch begins where the read ended.
                 watching = true;
-                for (told = 0; told < registry.log.size() && registry.log[told].rev <= view.revision();)
+                for (told = 0; told < registry.log.size() && registry.log[told].revision <= view.revision();)
                     ++told;
             }
         } else if (move.kind >= 8 && move.kind <= 9 && watching) {
             for (int i = 0; i <= move.way && told < registry.log.size(); ++i, ++told) {
                 const Record &word = registry.log[told];
-                view.change(word);
-                if (word.gone || (word.member && word.member->entry.status == HostStatus::draining))
-                    drained[word.key] = word.rev;
+                view.apply_change(word);
+                if (word.deleted || (word.member && word.member->entry.status == HostStatus::draining))
+                    drained[word.key] = word.revision;
                 else if (word.member)
                     drained.erase(word.key);
             }
-            if (move.way == 9 && told > 2) view.change(registry.log[told - 2]); // once more, late
+            if (move.way == 9 && told > 2) view.apply_change(registry.log[told - 2]); // once more, late
         } else if (move.kind == 10) {
-            view.broken();
+            view.watch_ended();
             reading.reset();
             watching = false;
         } else {
-            view.clock(now += 100 * move.way);
+            view.set_time(now += 100 * move.way);
         }
         take(view, module);
         for (const auto &[key, rev] : drained)
@@ -144,10 +144,10 @@
     }
     // In the end a whole read, twice, and all time: the view equals the registry.
     for (int i = 0; i < 2; ++i) {
-        if (reading) view.broken();
+        if (reading) view.watch_ended();
         start_read(registry);
         end_read();
-        view.clock(now += 10000);
+        view.set_time(now += 10000);
     }
     take(view, module);
     for (const auto &[key, record] : registry.held) {
--- a/tests/membership/source_test.cpp
+++ b/tests/membership/source_test.cpp
@@ -26,21 +26,21 @@
     Registry &registry(int at = 0) { return *registries_[static_cast<std::size_t>(at)]; }
     static std::string key(const std::string &id) { return "/hosts/" + id; }
     void begin() {
-        Plot plot;
+        SourceOptions options;
         for (const auto &one : registries_)
-            plot.endpoints.push_back(read_address(one->address(), "endpoint"));
-        plot.prefix = "/hosts/";
-        plot.known_file = known;
-        plot.quiet = 4000;
-        plot.ends = {500, 2000, 0};
-        plot.view.doubt_for = 10000;
-        plot.view.confirm_after = 3000;
-        plot.view.lag_for = 8000;
-        plot.follow = [](View &view, const std::string &authority) {
+            options.endpoints.push_back(read_address(one->address(), "endpoint"));
+        options.prefix = "/hosts/";
+        options.cache_file = known;
+        options.stale_after = 4000;
+        options.endpoint_rules = {500, 2000, 0};
+        options.view_rules.doubt_timeout = 10000;
+        options.view_rules.confirm_after = 3000;
+        options.view_rules.max_lag_time = 8000;
+        options.make_protocol = [](View &view, const std::string &authority) {
             return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "",
                                                     etcd::Timing{5000, 1000, 4000, 3000}, 2);
         };
-        SourceWorld::begin(std::move(plot));
+        SourceWorld::begin(std::move(options));
     }
     // In the end the view holds what the registry holds, but for values that cannot be read.
     void settled(const std::vector<std::string> &unreadable = {}, int at = 0) {
@@ -72,8 +72,8 @@
     world.until_list("b+c+d+e+");
     world.registry().put("/other/f", "not ours");
     world.registry().put(World::key("b"), "{not json");
-    world.until([&] { return world.said("unreadable: /hosts/b"); });
-    assert(world.text() == "b+c+d+e+");
+    world.until([&] { return world.has_logged("unreadable: /hosts/b"); });
+    assert(world.list_text() == "b+c+d+e+");
     world.settled({World::key("b")});
 }
 
@@ -84,13 +84,13 @@
     world.until_list("a+b+c+d+");
     world.watched();
     world.registry().stop();
-    world.until([&] { return world.said("registry.left"); });
+    world.until([&] { return world.has_logged("registry.left"); });
     world.registry().put(World::key("a"), value("terminating"));
     world.registry().remove(World::key("b"));
     world.registry().compact(world.registry().put("/other", "x"));
     world.registry().start();
     world.until_list("a-c+d+");
-    assert(world.said("is compacted"));
+    assert(world.has_logged("is compacted"));
     world.settled();
 }
 
@@ -117,7 +117,7 @@
     world.watched();
     world.registry().mute(true);
     world.registry().put(World::key("a"), value("terminating"));
-    world.until([&] { return world.said("no message on the watch within its timeout"); });
+    world.until([&] { return world.has_logged("no message on the watch within its timeout"); });
     world.registry().mute(false);
     world.until_list("a-b+c+d+");
     world.settled();
@@ -132,7 +132,7 @@
     world.registry().skip_events(1);
     world.registry().put(World::key("a"), value("terminating"));
     world.until_list("a-b+c+d+");
-    assert(world.said("the watch has missed /hosts/a"));
+    assert(world.has_logged("the watch has missed /hosts/a"));
     world.settled();
 }
 
@@ -166,8 +166,8 @@
     const int serving = world.registry(0).watches() > 0 ? 0 : 1;
     world.registry(1 - serving).lag(2);
     world.registry(serving).stop();
-    world.until([&] { return world.said("a member that lags"); });
-    assert(world.text() == "a-b-c+d+");
+    world.until([&] { return world.has_logged("a member that lags"); });
+    assert(world.list_text() == "a-b-c+d+");
     world.registry(1 - serving).lag(0);
     world.registry(1 - serving).put(World::key("c"), value("terminating"));
     world.until_list("a-b-c-d+");
@@ -182,9 +182,9 @@
     world.registry().stop();
     world.registry().lose_data();
     world.registry().start();
-    world.until([&] { return world.said("doubt: 4 of 4"); });
-    assert(world.said("counts anew"));
-    assert(world.text() == "a+b+c+d+");
+    world.until([&] { return world.has_logged("doubt: 4 of 4"); });
+    assert(world.has_logged("counts anew"));
+    assert(world.list_text() == "a+b+c+d+");
     world.until_list("");
     world.settled();
 }
@@ -207,7 +207,7 @@
         world.registry().stop();
         world.begin();
         world.until_list("a+b+c+d+");
-        assert(world.said("registry.known hosts=4"));
+        assert(world.has_logged("registry.known hosts=4"));
         world.registry().start();
         world.until_list("a-b+c+d+");
     }
@@ -216,7 +216,7 @@
     world.known = path.string();
     world.begin();
     world.until_list("a+b+c+d+");
-    assert(world.said("registry.known ignored="));
+    assert(world.has_logged("registry.known ignored="));
     std::filesystem::remove(path);
 }
 
@@ -239,14 +239,15 @@
     world.registry().put(World::key("b"), huge);
     world.begin();
     world.until_list("a+c+d+");
-    world.until([&] { return world.said("unreadable: /hosts/b: value exceeds the message size limit"); });
+    world.until(
+        [&] { return world.has_logged("unreadable: /hosts/b: value exceeds the message size limit"); });
     world.watched();
     world.registry().write(
         {{0, World::key("c"), huge, false}, {0, World::key("d"), value("terminating"), false}});
     world.until_list("a+c+d-");
     world.registry().put(World::key("a"), value("terminating"));
     world.until_list("a-c+d-");
-    assert(!world.said("registry.left"));
+    assert(!world.has_logged("registry.left"));
     world.registry().put(World::key("b"), value("in_service"));
     world.until_list("a-b+c+d-");
     world.settled({World::key("c")});
--- a/tests/membership/source_world.hpp
+++ b/tests/membership/source_world.hpp
@@ -29,9 +29,9 @@
         io.run_for(std::chrono::milliseconds(50));
     }
 
-    void begin(Plot plot) {
+    void begin(SourceOptions options) {
         source.emplace(
-            io, std::move(plot), read_value, limits, log, 7, [this] { return time(); },
+            io, std::move(options), read_value, limits, log, 7, [this] { return time(); },
             [this](const Listing &told) { take(told); });
         source->begin();
     }
@@ -52,18 +52,18 @@
     void until(const std::function<bool()> &held,
                const std::source_location &place = std::source_location::current()) {
         test::run_until(
-            io, held, 20, [&] { return logged.str() + text(); }, place);
+            io, held, 20, [&] { return logged.str() + list_text(); }, place);
     }
-    std::string text() const { // "a+b-": a is ready, b drains
+    std::string list_text() const { // "a+b-": a is ready, b drains
         std::string all;
         for (const auto &[id, standing] : list) all += id + (standing == HostStatus::ready ? "+" : "-");
         return all;
     }
     void until_list(const std::string &wanted,
                     const std::source_location &place = std::source_location::current()) {
-        until([&] { return text() == wanted; }, place);
+        until([&] { return list_text() == wanted; }, place);
     }
-    bool said(const std::string &part) const { return logged.str().find(part) != std::string::npos; }
+    bool has_logged(const std::string &part) const { return logged.str().find(part) != std::string::npos; }
 
     boost::asio::io_context io;
     std::chrono::steady_clock::time_point began = std::chrono::steady_clock::now();
--- a/tests/membership/tls_test.cpp
+++ b/tests/membership/tls_test.cpp
@@ -78,16 +78,16 @@
     ~World() { stop(); }
     void begin(const tls::Files &files) {
         maker = tls::make_engine_factory(files);
-        Plot plot;
-        plot.endpoints = {read_address(registry.address(), "endpoint")};
-        plot.prefix = "/hosts/";
-        plot.ends = {500, 2000, 0};
-        plot.tls = maker.get();
-        plot.follow = [](View &view, const std::string &authority) {
+        SourceOptions options;
+        options.endpoints = {read_address(registry.address(), "endpoint")};
+        options.prefix = "/hosts/";
+        options.endpoint_rules = {500, 2000, 0};
+        options.tls = maker.get();
+        options.make_protocol = [](View &view, const std::string &authority) {
             return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "token-of-ours",
                                                     etcd::Timing{5000, 1000, 4000, 3000}, 2);
         };
-        SourceWorld::begin(std::move(plot));
+        SourceWorld::begin(std::move(options));
     }
     standins::ServerTls secure;
     standins::Registry registry;
@@ -111,7 +111,7 @@
     for (int i = 0; i < 300; ++i)
         world.registry.put("/hosts/c" + std::to_string(i), host_value("in_service"));
     world.until([&] { return world.list.size() == 302; });
-    assert(!world.said("token-of-ours") && !world.said("PRIVATE"));
+    assert(!world.has_logged("token-of-ours") && !world.has_logged("PRIVATE"));
 }
 
 void without_its_certificate_a_router_is_not_let_in() {
@@ -119,7 +119,7 @@
     const Authority theirs("theirs"), ours("ours");
     World world(theirs.issue("127.0.0.1"), ours.certificate());
     world.begin({folder.put("ca", theirs.certificate()), "", "", ""});
-    world.until([&] { return world.said("registry.left"); });
+    world.until([&] { return world.has_logged("registry.left"); });
     assert(!world.source->view().synced());
 }
 
@@ -130,22 +130,22 @@
     const Authority theirs("theirs"), foreign("foreign");
     World world(theirs.issue("127.0.0.1"));
     world.begin({folder.put("ca", foreign.certificate()), "", "", ""});
-    world.until([&] { return world.said("TLS: server certificate: "); });
+    world.until([&] { return world.has_logged("TLS: server certificate: "); });
     assert(!world.source->view().synced());
     folder.put("ca", "no longer PEM");
-    world.until([&] { return world.said("registry.tls kept="); });
+    world.until([&] { return world.has_logged("registry.tls kept="); });
     folder.put("ca", theirs.certificate());
     world.until_list("a+");
 
     World named(theirs.issue("elsewhere.example"));
     named.begin({folder.put("ca", theirs.certificate()), "", "", ""});
-    named.until([&] { return named.said("TLS: server certificate: IP address mismatch"); });
+    named.until([&] { return named.has_logged("TLS: server certificate: IP address mismatch"); });
     World told(theirs.issue("elsewhere.example"));
     told.begin({folder.put("ca", theirs.certificate()), "", "", "elsewhere.example"});
     told.until_list("a+");
     World old(theirs.issue("127.0.0.1", -1));
     old.begin({folder.put("ca", theirs.certificate()), "", "", ""});
-    old.until([&] { return old.said("TLS: server certificate: certificate has expired"); });
+    old.until([&] { return old.has_logged("TLS: server certificate: certificate has expired"); });
 }
 
 // Plaintext on the other side is no registry.
@@ -156,16 +156,16 @@
     plain.put("/hosts/a", host_value("in_service"));
     World world(theirs.issue("127.0.0.1"));
     world.maker = tls::make_engine_factory({folder.put("ca", theirs.certificate()), "", "", ""});
-    Plot plot;
-    plot.endpoints = {read_address(plain.address(), "endpoint")};
-    plot.ends = {500, 2000, 0};
-    plot.tls = world.maker.get();
-    plot.follow = [](View &view, const std::string &authority) {
+    SourceOptions options;
+    options.endpoints = {read_address(plain.address(), "endpoint")};
+    options.endpoint_rules = {500, 2000, 0};
+    options.tls = world.maker.get();
+    options.make_protocol = [](View &view, const std::string &authority) {
         return std::make_shared<etcd::Follower>(view, read_value, "/hosts/", authority, "", etcd::Timing{},
                                                 2);
     };
-    world.SourceWorld::begin(std::move(plot));
-    world.until([&] { return world.said("why=\"TLS: "); });
+    world.SourceWorld::begin(std::move(options));
+    world.until([&] { return world.has_logged("why=\"TLS: "); });
     assert(!world.source->view().synced() && plain.reads() == 0);
 }
 
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -13,7 +13,7 @@
             Ticks started = 0) {
     Record record;
     record.key = "hosts/" + id;
-    record.rev = rev;
+    record.revision = rev;
     record.member = Member{{id, 0, 0, 0, 1, standing, 1, started}, {}};
     return record;
 }
@@ -21,32 +21,32 @@
 Record gone(const std::string &id, std::int64_t rev) {
     Record record;
     record.key = "hosts/" + id;
-    record.rev = rev;
-    record.gone = true;
+    record.revision = rev;
+    record.deleted = true;
     return record;
 }
 
 Record spoilt(const std::string &id, std::int64_t rev) {
     Record record;
     record.key = "hosts/" + id;
-    record.rev = rev;
-    record.fault = "not JSON";
+    record.revision = rev;
+    record.error = "not JSON";
     return record;
 }
 
 struct Bench {
-    explicit Bench(ViewRules rules = {}) : view(rules) { view.clock(now); }
+    explicit Bench(ViewRules rules = {}) : view(rules) { view.set_time(now); }
 
     void read(std::int64_t rev, const std::vector<Record> &records) {
         view.begin_read();
-        view.page(records);
+        view.add_page(records);
         view.end_read(rev);
     }
-    void pass(Ticks span) { view.clock(now += span); }
+    void pass(Ticks span) { view.set_time(now += span); }
     // What was taken, as "id:standing" in order, and kept as the module would.
     std::string take() {
         std::string text;
-        if (const auto listing = view.take())
+        if (const auto listing = view.take_listing())
             for (const Member &member : listing->members) {
                 static constexpr const char *kWords[] = {"", "gone", "draining", "ready"};
                 text += (text.empty() ? "" : " ") + member.entry.id + ":" +
@@ -61,14 +61,14 @@
 
 void a_read_and_changes_make_the_list() {
     Bench bench;
-    assert(bench.view.ask() == Ask::whole);
+    assert(bench.view.take_next_action() == NextAction::full_read);
     bench.read(10, {host("a", 3), host("b", 4)});
-    assert(bench.take() == "a:ready b:ready" && bench.view.ask() == Ask::resume &&
+    assert(bench.take() == "a:ready b:ready" && bench.view.take_next_action() == NextAction::resume_watch &&
            bench.view.revision() == 10);
-    bench.view.change(host("a", 11, HostStatus::draining));
-    bench.view.change(host("c", 12));
+    bench.view.apply_change(host("a", 11, HostStatus::draining));
+    bench.view.apply_change(host("c", 12));
     assert(bench.take() == "a:draining c:ready" && bench.view.revision() == 12);
-    bench.view.change(gone("a", 13));
+    bench.view.apply_change(gone("a", 13));
     assert(bench.take() == "a:gone" && bench.take().empty());
 }
 
@@ -76,12 +76,12 @@
     Bench bench;
     bench.read(10, {host("a", 3)});
     bench.take();
-    bench.view.change(host("a", 12, HostStatus::draining));
-    bench.view.change(host("a", 11)); // crossed: told by the old watch after the new one began
-    bench.view.change(host("a", 12, HostStatus::draining));
+    bench.view.apply_change(host("a", 12, HostStatus::draining));
+    bench.view.apply_change(host("a", 11)); // crossed: told by the old watch after the new one began
+    bench.view.apply_change(host("a", 12, HostStatus::draining));
     assert(bench.take() == "a:draining");
-    bench.view.change(gone("a", 14));
-    bench.view.change(host("a", 13));
+    bench.view.apply_change(gone("a", 14));
+    bench.view.apply_change(host("a", 13));
     assert(bench.take() == "a:gone" && bench.view.records().empty());
 }
 
@@ -91,10 +91,10 @@
     Bench bench;
     bench.read(10, {host("a", 3), host("b", 4), host("c", 5), host("d", 6)});
     bench.take();
-    bench.view.broken();
-    assert(bench.view.ask() == Ask::resume);
-    bench.view.compacted();
-    assert(bench.view.ask() == Ask::whole);
+    bench.view.watch_ended();
+    assert(bench.view.take_next_action() == NextAction::resume_watch);
+    bench.view.watch_compacted();
+    assert(bench.view.take_next_action() == NextAction::full_read);
     bench.read(90, {host("a", 50, HostStatus::draining), host("c", 5), host("d", 6)});
     assert(bench.take() == "b:gone a:draining c:ready d:ready");
 }
@@ -104,16 +104,16 @@
     bench.read(10, {host("a", 3), host("b", 4)});
     bench.take();
     bench.view.begin_read();
-    bench.view.page({host("a", 3)}); // a page from before the drain
-    bench.view.change(host("a", 12, HostStatus::draining));
+    bench.view.add_page({host("a", 3)}); // a page from before the drain
+    bench.view.apply_change(host("a", 12, HostStatus::draining));
     assert(bench.take() == "a:draining");
-    bench.view.page({host("b", 4)});
+    bench.view.add_page({host("b", 4)});
     bench.view.end_read(11);
     assert(bench.take().find("a:ready") == std::string::npos);
     bench.view.begin_read();
-    bench.view.change(gone("b", 13));
+    bench.view.apply_change(gone("b", 13));
     assert(bench.take() == "b:gone");
-    bench.view.page({host("a", 12, HostStatus::draining), host("b", 4)});
+    bench.view.add_page({host("a", 12, HostStatus::draining), host("b", 4)});
     bench.view.end_read(12);
     assert(bench.take().find("b:ready") == std::string::npos);
 }
@@ -123,29 +123,30 @@
     bench.read(10, {host("a", 3), host("b", 4)});
     bench.take();
     bench.view.begin_read();
-    bench.view.page({host("a", 3)});
-    bench.view.broken();
-    assert(bench.take().empty() && bench.view.ask() == Ask::whole && bench.view.records().size() == 2);
+    bench.view.add_page({host("a", 3)});
+    bench.view.watch_ended();
+    assert(bench.take().empty() && bench.view.take_next_action() == NextAction::full_read &&
+           bench.view.records().size() == 2);
 }
 
 void a_member_that_lags_is_not_believed() {
     Bench bench;
     bench.read(10, {host("a", 3)});
-    bench.view.change(host("a", 20, HostStatus::draining));
+    bench.view.apply_change(host("a", 20, HostStatus::draining));
     bench.take();
     bench.read(15, {host("a", 3), host("b", 12)});
-    assert(bench.take().empty() && bench.view.ask() == Ask::elsewhere);
-    bench.view.member_at(19);
-    assert(bench.view.ask() == Ask::elsewhere);
+    assert(bench.take().empty() && bench.view.take_next_action() == NextAction::change_endpoint);
+    bench.view.check_member_revision(19);
+    assert(bench.view.take_next_action() == NextAction::change_endpoint);
 }
 
 void a_process_that_returns_is_another() {
     Bench bench;
     bench.read(10, {host("a", 3, HostStatus::ready, 100)});
     bench.take();
-    bench.view.change(gone("a", 11));
-    bench.view.change(host("a", 12, HostStatus::ready, 900));
-    const auto listing = bench.view.take();
+    bench.view.apply_change(gone("a", 11));
+    bench.view.apply_change(host("a", 12, HostStatus::ready, 900));
+    const auto listing = bench.view.take_listing();
     assert(listing && listing->members.size() == 2 && listing->members[0].entry.status == HostStatus::gone);
     assert(listing->members[1].entry.started == 900);
 }
@@ -154,10 +155,11 @@
     Bench bench;
     bench.read(10, {host("a", 3), spoilt("b", 4)});
     assert(bench.take() == "a:ready");
-    bench.view.change(spoilt("a", 11));
-    bench.view.change(spoilt("a", 12));
-    assert(bench.take().empty() && bench.view.unreadable() == 3 && bench.view.take_lines().size() == 2);
-    bench.view.change(host("a", 13, HostStatus::draining));
+    bench.view.apply_change(spoilt("a", 11));
+    bench.view.apply_change(spoilt("a", 12));
+    assert(bench.take().empty() && bench.view.unreadable_count() == 3 &&
+           bench.view.take_log_lines().size() == 2);
+    bench.view.apply_change(host("a", 13, HostStatus::draining));
     assert(bench.take() == "a:draining");
 }
 
@@ -166,13 +168,14 @@
     Bench bench;
     bench.read(10, {host("a", 3), host("b", 4), host("c", 5), host("d", 6)});
     bench.take();
-    bench.view.ask();
+    bench.view.take_next_action();
     bench.read(11, {});
-    assert(bench.take().empty() && bench.view.doubting() && bench.view.ask() == Ask::resume);
+    assert(bench.take().empty() && bench.view.has_doubted_hosts() &&
+           bench.view.take_next_action() == NextAction::resume_watch);
     bench.pass(10000);
-    assert(bench.view.ask() == Ask::whole);
+    assert(bench.view.take_next_action() == NextAction::full_read);
     bench.read(12, {});
-    assert(bench.take() == "a:gone b:gone c:gone d:gone" && !bench.view.doubting());
+    assert(bench.take() == "a:gone b:gone c:gone d:gone" && !bench.view.has_doubted_hosts());
 }
 
 void the_doubt_ends_by_time() {
@@ -202,9 +205,9 @@
     bench.read(10, {host("a", 3), host("b", 4), host("c", 5)});
     bench.take();
     bench.read(11, {});
-    bench.view.change(gone("a", 12));
+    bench.view.apply_change(gone("a", 12));
     assert(bench.take() == "a:gone");
-    bench.view.change(host("b", 13, HostStatus::draining));
+    bench.view.apply_change(host("b", 13, HostStatus::draining));
     assert(bench.take() == "b:draining");
 }
 
@@ -228,17 +231,17 @@
 // not bind.
 void no_draining_host_comes_back_with_lost_data() {
     ViewRules rules;
-    rules.lag_for = 1000;
+    rules.max_lag_time = 1000;
     Bench bench(rules);
     bench.read(10, {host("a", 3), host("b", 4)});
-    bench.view.change(host("a", 11, HostStatus::draining));
+    bench.view.apply_change(host("a", 11, HostStatus::draining));
     bench.take();
     bench.read(5, {host("a", 3), host("b", 4)});
-    assert(bench.view.ask() == Ask::elsewhere);
+    assert(bench.view.take_next_action() == NextAction::change_endpoint);
     bench.pass(1000);
     bench.read(5, {host("a", 3), host("b", 4)});
     assert(bench.take() == "a:draining b:ready" && bench.view.revision() == 5);
-    bench.view.change(host("a", 6, HostStatus::ready, 700));
+    bench.view.apply_change(host("a", 6, HostStatus::ready, 700));
     assert(bench.take() == "a:ready"); // it has started again
     Bench fresh;
     fresh.view.start_from({host("a", 9, HostStatus::draining)});
@@ -248,11 +251,11 @@
 
 void hosts_are_bounded() {
     ViewRules rules;
-    rules.most = 2;
+    rules.max_hosts = 2;
     Bench bench(rules);
     bench.read(10, {host("a", 3), host("b", 4)});
-    bench.view.change(host("c", 11));
-    assert(bench.view.records().size() == 2 && bench.view.unreadable() == 1);
+    bench.view.apply_change(host("c", 11));
+    assert(bench.view.records().size() == 2 && bench.view.unreadable_count() == 1);
 }
 
 void age_counts_from_the_last_word() {
@@ -260,7 +263,7 @@
     bench.read(10, {});
     bench.pass(500);
     assert(bench.view.age() == 500);
-    bench.view.progress(11);
+    bench.view.record_progress(11);
     assert(bench.view.age() == 0 && bench.view.revision() == 11);
 }
 
--- a/tests/membership/wire_test.cpp
+++ b/tests/membership/wire_test.cpp
@@ -160,7 +160,7 @@
         exchange_bytes(piece);
     }
     std::string list_text() { // "a+b-": a is ready, b drains
-        if (const auto listing = view.take())
+        if (const auto listing = view.take_listing())
             for (const Member &member : listing->members)
                 member.entry.status == HostStatus::gone
                     ? void(list.erase(member.entry.id))
@@ -211,8 +211,8 @@
     const std::string bytes = fixture.server.output();
     fixture.follower.feed(bytes.substr(0, bytes.size() - 5), 1);
     assert(fixture.list_text() == "a+b+c+" && fixture.view.revision() == 10);
-    fixture.follower.ended();
-    assert(fixture.follower.dead());
+    fixture.follower.connection_closed();
+    assert(fixture.follower.has_failed());
     etcd::Follower next{fixture.view, read_value, "/h/", "reg", "", {}};
     Server other;
     next.begin(2);
@@ -234,7 +234,7 @@
     fixture.exchange_bytes();
     nghttp2_submit_goaway(fixture.server.session, 0, 3, NGHTTP2_NO_ERROR, nullptr, 0);
     fixture.exchange_bytes();
-    assert(fixture.list_text() == "a-b+c+" && fixture.follower.why() == "registry member sent GOAWAY");
+    assert(fixture.list_text() == "a-b+c+" && fixture.follower.failure() == "registry member sent GOAWAY");
 }
 
 void a_reset_call_fails_the_connection() {
@@ -242,11 +242,11 @@
     fixture.read_and_watch();
     nghttp2_submit_rst_stream(fixture.server.session, 0, fixture.server.calls[1], NGHTTP2_REFUSED_STREAM);
     fixture.exchange_bytes();
-    assert(fixture.follower.why().find("watch ended: reset with code 7") == 0);
+    assert(fixture.follower.failure().find("watch ended: reset with code 7") == 0);
     EtcdFixture reading;
     nghttp2_submit_rst_stream(reading.server.session, 0, reading.server.calls[0], NGHTTP2_INTERNAL_ERROR);
     reading.exchange_bytes();
-    assert(reading.follower.why().find("range read failed") == 0);
+    assert(reading.follower.failure().find("range read failed") == 0);
 }
 
 // The flow control window never opens: no bytes of a call are sent, and the answer timeout fails the
@@ -254,10 +254,10 @@
 void a_window_that_never_opens_times_out() {
     EtcdFixture fixture(0);
     assert(fixture.server.calls.size() == 1 && fixture.server.received.empty());
-    fixture.follower.clock(19999);
-    assert(!fixture.follower.dead());
-    fixture.follower.clock(20000);
-    assert(fixture.follower.why() == "range read not answered in time");
+    fixture.follower.set_time(19999);
+    assert(!fixture.follower.has_failed());
+    fixture.follower.set_time(20000);
+    assert(fixture.follower.failure() == "range read not answered in time");
 }
 
 void invalid_lengths_fail_the_call_or_the_connection() {
@@ -268,27 +268,27 @@
     head[8] = static_cast<char>(frame.server.calls[1]);
     frame.follower.feed(head, 1);
     frame.follower.output();
-    assert(frame.follower.why() == "the peer violated the HTTP/2 protocol");
+    assert(frame.follower.failure() == "the peer violated the HTTP/2 protocol");
 
     EtcdFixture large;
     large.read_and_watch();
     large.server.send(large.server.calls[1], std::string("\0\x7f\xff\xff\xff", 5) + "xx");
     large.exchange_bytes();
     // The watch is cancelled and the whole prefix is read again, on the same connection.
-    assert(!large.follower.dead() && large.server.resets == 1 && large.server.calls.size() == 3);
-    assert(large.view.take_lines().back().find("has missed a message of 2147483647 bytes") !=
+    assert(!large.follower.has_failed() && large.server.resets == 1 && large.server.calls.size() == 3);
+    assert(large.view.take_log_lines().back().find("has missed a message of 2147483647 bytes") !=
            std::string::npos);
 
     EtcdFixture compressed;
     compressed.read_and_watch();
     compressed.server.send(compressed.server.calls[1], std::string("\1\0\0\0\2", 5) + "xx");
     compressed.exchange_bytes();
-    assert(compressed.follower.why().find("a compressed message") != std::string::npos);
+    assert(compressed.follower.failure().find("a compressed message") != std::string::npos);
 
     EtcdFixture noise;
     noise.follower.feed("HTTP/1.1 400 Bad Request\r\n\r\n", 1);
     noise.follower.output();
-    assert(noise.follower.dead());
+    assert(noise.follower.has_failed());
 }
 
 void malformed_messages_fail_the_connection() {
@@ -296,12 +296,12 @@
     fixture.read_and_watch();
     fixture.server.send(fixture.server.calls[1], std::string("\0\0\0\0\3\xff\xff\xff", 8));
     fixture.exchange_bytes();
-    assert(fixture.follower.why() == "malformed watch message" && fixture.list_text() == "a+b+c+");
+    assert(fixture.follower.failure() == "malformed watch message" && fixture.list_text() == "a+b+c+");
     EtcdFixture page;
     page.server.send_answer_headers(page.server.calls[0]);
     page.server.send(page.server.calls[0], std::string("\0\0\0\0\3\xff\xff\xff", 8), 0);
     page.exchange_bytes();
-    assert(page.follower.why() == "malformed range response" && !page.view.synced());
+    assert(page.follower.failure() == "malformed range response" && !page.view.synced());
 }
 
 // The size of a watch batch whose fragments never end is limited.
@@ -312,11 +312,12 @@
     fragment.mutable_header()->set_revision(11);
     fragment.set_fragment(true);
     for (int i = 0; i < 5000; ++i) fragment.add_events()->mutable_kv()->set_key("/h/x");
-    for (int i = 0; i < 25 && !fixture.follower.dead(); ++i) {
+    for (int i = 0; i < 25 && !fixture.follower.has_failed(); ++i) {
         fixture.server.send(fixture.server.calls[1], grpc_message(fragment));
         fixture.exchange_bytes();
     }
-    assert(fixture.follower.why() == "too many events in one watch batch" && fixture.list_text() == "a+b+c+");
+    assert(fixture.follower.failure() == "too many events in one watch batch" &&
+           fixture.list_text() == "a+b+c+");
 }
 
 } // namespace
--- a/tests/membership/world.hpp
+++ b/tests/membership/world.hpp
@@ -25,13 +25,13 @@
             << registry.address()
             << R"("/><watch progress-s="0.1" quiet-s="0.5" look-s="0.4" answer-s="0.5"/></registry></pineridge>)";
         router.launch(io, town.folder);
-        until([&] { return said("serving") && registry.watches() > 0; });
+        until([&] { return has_logged("serving") && registry.watches() > 0; });
         town.send_steadily("acme", 500);
     }
     ~RegistryWorld() { town.stop(); }
 
     void put(const standins::Host &host) { registry.put("/hosts/" + host.id, host.entry().dump()); }
-    bool said(const std::string &part) const { return router.has_logged(part); }
+    bool has_logged(const std::string &part) const { return router.has_logged(part); }
     void until(const std::function<bool()> &held,
                const std::source_location &place = std::source_location::current()) {
         run_until(
@@ -44,8 +44,8 @@
     }
     // Picks reach every host that is ready; then this one is drained, and `fault` strikes. How long after the
     // word was told, on this connection or a later one, did the last pick reach it?
-    double drain(standins::Host &host, const std::function<void()> &before,
-                 const std::function<void()> &after) {
+    double drain_delay_ms(standins::Host &host, const std::function<void()> &before,
+                          const std::function<void()> &after) {
         const std::int64_t began = standins::LocalCluster::now();
         until([&] { return picks_at(host.id, began) > 2; });
         before();
