--- a/src/membership/access.hpp
+++ b/src/membership/access.hpp
@@ -1,5 +1,5 @@
-// A registry as the settings tell of it, made ready to be followed: addresses and token read, TLS loaded
-// where it is told.
+// Prepares access to the registry that the settings describe: parses its addresses, reads the token and loads
+// the TLS files.
 #pragma once
 
 #include "membership/source.hpp"
@@ -12,14 +12,15 @@
 struct RegistryAccess {
     std::vector<Address> endpoints;
     std::string token; // never logged
-    std::unique_ptr<tls::EngineFactory> tls; // none: plaintext
+    std::unique_ptr<tls::EngineFactory> tls; // null: plaintext
 };
 
-// Throws BadInput naming the key or the file; std::runtime_error where the library of TLS is not there.
-RegistryAccess make_registry_access(const RegistrySettings &from);
+// Reads files, so it blocks. Throws BadInput naming the settings key or the file, and std::runtime_error if
+// the TLS library is missing.
+RegistryAccess make_registry_access(const RegistrySettings &settings);
 
-// The options for a source; `access` must outlive it.
-SourceOptions make_source_options(const RegistrySettings &from, const RegistryAccess &access,
+// Returns the options for a source; `access` must outlive it.
+SourceOptions make_source_options(const RegistrySettings &settings, const RegistryAccess &access,
                                   const ReadValue &read, std::uint64_t seed);
 
 } // namespace pineridge::membership
--- a/src/membership/cache.cpp
+++ b/src/membership/cache.cpp
@@ -44,30 +44,31 @@
         return std::nullopt;
     };
     const std::size_t checksum_size = checksum_line("").size();
-    if (bytes.size() < checksum_size || bytes.rfind("pineridge-list ", 0) != 0) return reject("not a list");
-    if (bytes.rfind(std::string(kMagic) + ' ', 0) != 0) return reject("a list of another version");
+    if (bytes.size() < checksum_size || bytes.rfind("pineridge-list ", 0) != 0)
+        return reject("not a host list");
+    if (bytes.rfind(std::string(kMagic) + ' ', 0) != 0) return reject("host list of another version");
     const std::string body = bytes.substr(0, bytes.size() - checksum_size);
     if (bytes.substr(body.size()) != checksum_line(body))
-        return reject("torn or changed: its checksum does not fit");
+        return reject("truncated or changed: checksum mismatch");
     std::istringstream in(body.substr(sizeof kMagic - 1));
     CachedList list;
     std::size_t count = 0, size = 0;
     if (!(in >> list.revision >> list.written_ms >> count >> size) || count > kMaxEntries ||
         size > kMaxTextBytes || in.get() != '\n')
-        return reject("a head that cannot be read");
+        return reject("unreadable header");
     const auto text = [&](std::size_t length) {
         std::string read(length, '\0');
         in.read(read.data(), static_cast<std::streamsize>(length));
         return read;
     };
-    if (text(size) != prefix || in.get() != '\n') return reject("a list of another prefix");
+    if (text(size) != prefix || in.get() != '\n') return reject("host list of another prefix");
     for (std::size_t i = 0; i < count; ++i) {
         std::size_t key = 0, value = 0;
         if (!(in >> key >> value) || key > kMaxTextBytes || value > kMaxTextBytes || in.get() != '\n')
-            return reject("an entry that cannot be read");
+            return reject("unreadable entry");
         std::string name = text(key);
         list.entries.emplace_back(std::move(name), text(value));
-        if (!in || in.get() != '\n') return reject("an entry that cannot be read");
+        if (!in || in.get() != '\n') return reject("unreadable entry");
     }
     return list;
 }
@@ -100,7 +101,7 @@
     const int directory =
         ::open(std::filesystem::path(path).parent_path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (directory >= 0) {
-        ::fsync(directory); // a rename that is lost leaves the old list, which is sound too
+        ::fsync(directory); // without it, a crash may bring back the old list, which is valid too
         ::close(directory);
     }
     return "";
--- a/src/membership/connection_driver.cpp
+++ b/src/membership/connection_driver.cpp
@@ -8,31 +8,32 @@
 using asio::use_awaitable;
 
 struct ConnectionDriver::Connection {
-    Connection(asio::io_context &io, std::shared_ptr<Protocol> its_protocol,
-               std::function<void()> its_on_progress)
-        : socket(io), timer(io), protocol(std::move(its_protocol)), on_progress(std::move(its_on_progress)) {}
+    Connection(asio::io_context &io, std::shared_ptr<Protocol> new_protocol,
+               std::function<void()> progress_handler)
+        : socket(io), timer(io), protocol(std::move(new_protocol)), on_progress(std::move(progress_handler)) {
+    }
 
-    bool is_done() const { return over || protocol->has_failed() || protocol->finished(); }
+    bool is_done() const { return closed || protocol->has_failed() || protocol->finished(); }
     void end() {
-        over = true;
+        closed = true;
         boost::system::error_code ignored;
         socket.close(ignored);
         timer.cancel();
     }
-    // Bytes from the network; false: of no further use.
+    // Takes bytes from the network. Returns false if the connection is to be closed.
     bool receive(std::string_view bytes, Ticks now) {
         if (!engine) return protocol->feed(bytes, now);
-        const bool sound = engine->feed(bytes);
-        const std::string clear = engine->take_plaintext();
-        if (!clear.empty() && !protocol->feed(clear, now)) return false;
-        if (!sound) why = "TLS: " + engine->error();
-        return sound && !engine->ended();
+        const bool valid = engine->feed(bytes);
+        const std::string plaintext = engine->take_plaintext();
+        if (!plaintext.empty() && !protocol->feed(plaintext, now)) return false;
+        if (!valid) reason = "TLS: " + engine->error();
+        return valid && !engine->ended();
     }
     std::string output() {
-        std::string clear = protocol->output();
-        if (!engine) return clear;
-        if (!clear.empty()) engine->send(clear);
-        if (why.empty() && !engine->error().empty()) why = "TLS: " + engine->error();
+        std::string plaintext = protocol->output();
+        if (!engine) return plaintext;
+        if (!plaintext.empty()) engine->send(plaintext);
+        if (reason.empty() && !engine->error().empty()) reason = "TLS: " + engine->error();
         return engine->take_output();
     }
 
@@ -41,8 +42,8 @@
     const std::shared_ptr<Protocol> protocol;
     const std::function<void()> on_progress;
     std::unique_ptr<tls::Engine> engine;
-    std::string why;
-    bool writing = false, over = false;
+    std::string reason;
+    bool writing = false, closed = false;
 };
 
 void ConnectionDriver::stop() {
@@ -50,7 +51,7 @@
 }
 
 void ConnectionDriver::flush_output() {
-    if (connection_ && !connection_->over) flush_output(connection_);
+    if (connection_ && !connection_->closed) flush_output(connection_);
 }
 
 asio::awaitable<std::string> ConnectionDriver::run(const Address &address, std::shared_ptr<Protocol> protocol,
@@ -59,10 +60,10 @@
         std::make_shared<Connection>(io_, std::move(protocol), std::move(on_progress));
     SocketDeadline socket_deadline(io_.get_executor());
     socket_deadline.set(connection->socket, limits_.platform_connect_timeout);
-    const auto [refused] = co_await connection->socket.async_connect(address, as_tuple(use_awaitable));
-    if (refused || socket_deadline.expired()) {
+    const auto [connect_error] = co_await connection->socket.async_connect(address, as_tuple(use_awaitable));
+    if (connect_error || socket_deadline.expired()) {
         connection->end();
-        co_return "no connection";
+        co_return "connect failed or timed out";
     }
     socket_deadline.cancel();
     boost::system::error_code ignored;
@@ -80,23 +81,23 @@
         flush_output(connection);
         connection->on_progress();
     }
-    if (!connection->over && connection->why.empty() && !connection->protocol->has_failed())
+    if (!connection->closed && connection->reason.empty() && !connection->protocol->has_failed())
         connection->protocol->connection_closed();
     connection->end();
-    const std::string why = !connection->why.empty()             ? connection->why
-                            : connection->protocol->has_failed() ? connection->protocol->failure()
-                            : connection->protocol->finished()   ? "done"
-                                                                 : "left";
+    const std::string reason = !connection->reason.empty()          ? connection->reason
+                               : connection->protocol->has_failed() ? connection->protocol->failure()
+                               : connection->protocol->finished()   ? "done"
+                                                                    : "left";
     connection->on_progress();
-    co_return why;
+    co_return reason;
 }
 
-// Time goes on for the protocol while nothing comes: its bounds end the connection.
+// Sets the protocol's time while nothing is received, so that its timeouts can end the connection.
 asio::awaitable<void> ConnectionDriver::run_timer(std::shared_ptr<Connection> connection) {
     for (;;) {
         connection->timer.expires_after(std::chrono::milliseconds(20));
         co_await connection->timer.async_wait(as_tuple(use_awaitable));
-        if (connection->over) co_return;
+        if (connection->closed) co_return;
         connection->protocol->set_time(clock_());
         flush_output(connection);
         connection->on_progress();
@@ -108,15 +109,15 @@
     if (!std::exchange(connection->writing, true)) asio::co_spawn(io_, write(connection), asio::detached);
 }
 
-// A write that waits is a protocol that does not read: what piles up behind it is bounded by the
-// conversation.
+// While a write waits, the other side is not reading. The protocol bounds the output that accumulates
+// meanwhile.
 asio::awaitable<void> ConnectionDriver::write(std::shared_ptr<Connection> connection) {
-    for (std::string bytes; !connection->over && !(bytes = connection->output()).empty();) {
+    for (std::string bytes; !connection->closed && !(bytes = connection->output()).empty();) {
         const auto [failed, size] =
             co_await asio::async_write(connection->socket, asio::buffer(bytes), as_tuple(use_awaitable));
         if (failed) connection->end();
     }
-    if (!connection->why.empty()) connection->end();
+    if (!connection->reason.empty()) connection->end();
     connection->writing = false;
 }
 
--- a/src/membership/connection_driver.hpp
+++ b/src/membership/connection_driver.hpp
@@ -1,5 +1,5 @@
-// The thin driver of a conversation: one connection at a time, in plaintext or TLS, bytes to and from a
-// protocol, and the time told to it while nothing comes.
+// Runs a protocol on a network connection: one connection at a time, in plaintext or TLS. It passes bytes
+// between the socket and the protocol, and sets the protocol's time while nothing is received.
 #pragma once
 
 #include "base/address.hpp"
@@ -20,18 +20,18 @@
   public:
     using Clock = std::function<Ticks()>;
 
-    // `tls` may be none: plaintext. What is handed over must outlive the pump. One thread.
+    // `tls` may be null: plaintext. What is passed by reference must outlive the driver. Single-threaded.
     ConnectionDriver(asio::io_context &io, const Limits &limits, Clock clock, tls::EngineFactory *tls,
                      std::string protocol)
         : io_(io), limits_(limits), clock_(std::move(clock)), tls_(tls), protocol_(std::move(protocol)) {}
 
-    // Until the connection is of no further use: why. `on_progress` is called whenever the protocol may have
-    // learnt something, before and after bytes and on each beat.
+    // Runs until the connection closes or fails, and returns the reason. `on_progress` is called whenever the
+    // protocol may have read something: after received bytes, on each timer tick, and at the end.
     asio::awaitable<std::string> run(const Address &address, std::shared_ptr<Protocol> protocol,
                                      std::function<void()> on_progress);
-    void stop(); // ends the connection at once
-    void flush_output(); // the protocol may have something to say: it goes out now
-    std::size_t received_bytes() const { return received_bytes_; } // bytes, over all connections
+    void stop(); // closes the connection at once
+    void flush_output(); // sends what the protocol has to send now
+    std::size_t received_bytes() const { return received_bytes_; } // over all connections
 
   private:
     struct Connection;
--- a/src/membership/lease.cpp
+++ b/src/membership/lease.cpp
@@ -20,7 +20,7 @@
 
 void Lease::call_succeeded() {
     if (!call_) return;
-    // A watch's answer holds all up to its writing, which may be long after the watch was opened.
+    // The answer to a watch has every change up to its writing, which may be long after the watch was opened.
     const Instant written =
         call_->answer_started_at ? *call_->answer_started_at - rules_.transit : call_->started_at;
     set_complete_as_of(std::max(call_->started_at, written));
@@ -44,7 +44,7 @@
     }
     if (call.max_wait) return watch_ended(call, failure, now);
     if (failure != CallFailure::connect_failed && now - call.started_at < rules_.queue_full) {
-        // Crowded, so that it is not down.
+        // A full queue rejected the call, so discovery is up.
         end_outage();
         return;
     }
@@ -53,8 +53,8 @@
         classify_unclear_end(call, now);
 }
 
-// A watch that was_accepted told all up to its end; one that waited in a line told nothing. A connection that
-// breaks may have been silent for a while before: no longer than a silent watch's bound allows for.
+// An accepted watch delivered every change up to its end; a queued one delivered none. A connection that
+// breaks may have been silent before, for no longer than the bound of a silent watch.
 void Lease::watch_ended(const Call &call, CallFailure failure, Instant now) {
     const auto open_time = now - call.started_at;
     const bool by_discovery = failure == CallFailure::refused || failure == CallFailure::connection_lost;
@@ -70,8 +70,8 @@
     set_complete_as_of(complete_until);
 }
 
-// A call that was turned away tells how long discovery lets calls wait. A watch that was open for longer had
-// been accepted, one that ended before was not turned away: either was ended as discovery went down.
+// A rejected call shows how long discovery queues calls. A watch that was open for longer had been accepted,
+// and one that ended sooner was not rejected by the queue: in both cases discovery went down and ended it.
 void Lease::classify_unclear_end(const Call &call, Instant now) {
     if (!unclear_end_) return;
     const UnclearEnd end = *unclear_end_;
--- a/src/membership/lease.hpp
+++ b/src/membership/lease.hpp
@@ -1,16 +1,17 @@
-// The lease on a list of hosts: up to when a router may go on using the list it holds. Every change that
-// discovery has made counts as told to a router after a bounded time, whether or not it arrived; past that
-// time a host on the list may have been drained, and nothing may be sent by it. One rule for all ways in
-// which calls end: the list is known to be complete as of some instant, and the lease runs from there. Fed
-// with what the caller did and saw; reads no clock and does no I/O. Not safe for threads.
+// The lease on the list of hosts: the time until which a router may use the list it holds. A change made at
+// discovery counts as delivered to a router after a bounded time, whether or not it arrived; after that, a
+// host on the list may have been drained, and no RPC may be sent by the list. One rule covers all ways in
+// which calls to discovery end: the list is known to be complete as of some instant, and the lease runs from
+// there. The caller reports what it sent and received; the class reads no clock and does no I/O. Not
+// thread-safe.
 //
-// Past the lease there is one lesser state, an outage. Discovery that goes down ends the watches that
-// was_accepted; nothing counts while it is down, and a change counts as told only some time after its return.
-// A router whose watch was ended, and whose every call since has failed, presumes that this goes on. It
-// cannot tell that from a discovery that has returned and is too crowded to answer: what is sent meanwhile
-// has to be chosen as if some drains had gone unheard.
+// After the lease there is one weaker state, an outage. When discovery goes down, it ends its open watches.
+// While it is down no change counts as delivered, and after its return a change counts only some time later.
+// A router whose watch was ended, and whose calls have all failed since, presumes that the outage continues.
+// It cannot tell this from a discovery that has returned but is too loaded to answer, so hosts for RPCs sent
+// during an outage must be chosen as if some drains had been missed.
 //
-// Source: the standing test's page ("one clock for silence" and the sentence behind it), the protocol page.
+// Source: the standing test's page ("one clock for silence" and the sentence after it), the protocol page.
 #pragma once
 
 #include "base/limits.hpp"
@@ -23,51 +24,47 @@
 using Instant = std::chrono::steady_clock::time_point; // of the monotonic clock
 
 struct LeaseRules {
-    Milliseconds delivery_time; // a change counts as told at the latest so long after discovery had it
+    Milliseconds delivery_time; // after discovery made a change, it counts as delivered this much later
+    Milliseconds watch_overrun; // after the wait of a silent watch, what it missed counts this much later
+    Milliseconds move_delay; // after a move, changes of discovery at the new address count this much later
+    Milliseconds partial_answer; // after an answer's first byte, its content counts, even if incomplete
+    Milliseconds transit; // at most, from writing an answer until its first byte is read
+    Milliseconds watch_accepted; // a watch open for this long was accepted and is not queued
+    Milliseconds queue_full; // a call that fails sooner was rejected by a full queue
+    Milliseconds min_queue_wait; // a call that fails sooner was not rejected after waiting in the queue
+    Milliseconds outage_duration; // presumed after discovery ended a watch, or from the first failed call
     Milliseconds
-        watch_overrun; // what a watch that fell silent has missed counts so long after its wait is over
-    Milliseconds move_delay; // whatever a discovery at a new address has to tell counts after this
-    Milliseconds
-        partial_answer; // what an answer holds counts so long after its first byte, read whole or not
-    Milliseconds transit; // from an answer's writing until its first byte is read, at most
-    Milliseconds
-        watch_accepted; // a watch that has not ended by then was accepted, and does not wait in a line
-    Milliseconds queue_full; // a call that fails so soon was turned away by a line that took no more
-    Milliseconds min_queue_wait; // and one that fails sooner than this was not turned away after a wait in it
-    Milliseconds outage_duration; // discovery is presumed down for so long after it ended a watch, or a first
-                                  // call left
-    Milliseconds
-        outage_extension; // and after each later call left; less, as it may be back and crowded by then
-    bool expires_on_failure = true; // false: an agent beside the router, which learns nothing while it fails
+        outage_extension; // from each later failed call; shorter, as discovery may be back but loaded
+    bool expires_on_failure = true; // false for a local agent, which learns nothing while it fails
 };
 
-// How a call ended that brought no usable answer.
+// Why a call brought no usable answer.
 enum class CallFailure {
-    refused, // answered, with an error
-    connect_failed, // no connection could be had: tells nothing of discovery, as the cause may lie here
-    connection_lost, // the connection ended, before any byte of an answer
-    timed_out, // nothing came in the time allowed
-    unreadable, // bytes came that are no whole, sound answer
+    refused, // it was answered with an error
+    connect_failed, // no connection: says nothing about discovery, as the cause may be local
+    connection_lost, // the connection ended before the first byte of an answer
+    timed_out, // nothing was received in the allowed time
+    unreadable, // the answer was incomplete or malformed
 };
 
 class Lease {
   public:
     explicit Lease(const LeaseRules &rules) : rules_(rules) {}
 
-    // A call leaves. `hold`: how long discovery may keep it waiting for a change; none: it answers at once.
+    // A call is sent. `max_wait`: how long discovery may wait for a change; none: it answers at once.
     void call_started(Instant now, std::optional<Milliseconds> max_wait);
-    void answer_started(Instant now); // its first byte has been read
-    void call_succeeded(); // it was read whole, and the list brought up to it
+    void answer_started(Instant now); // its first byte was read
+    void call_succeeded(); // the answer was read in full and the list updated
     void call_failed(CallFailure failure, Instant now);
-    void address_changed(Instant now); // discovery is to be had at another address from now on
-    // The watch that is out has not ended. Without this call it is not taken to stand.
+    void address_changed(Instant now); // discovery moved to another address
+    // The open watch has not ended. A watch counts as accepted only once this reports it open long enough.
     void watch_still_open(Instant now);
 
-    // Nothing may be sent by the list after this. The clock's minimum before the first answer: the age of a
-    // list that a process was started with is not known.
+    // No RPC may be sent by the list after this. It is the clock's minimum before the first answer, as the
+    // age of the list that the process started with is unknown.
     Instant expires_at() const;
     bool is_valid(Instant now) const { return now <= expires_at(); }
-    // In an outage: up to when it is presumed to last. The clock's minimum outside of one.
+    // The presumed end of an outage; the clock's minimum if there is none.
     Instant outage_until() const;
     Milliseconds watch_accepted_after() const { return rules_.watch_accepted; }
 
@@ -79,8 +76,8 @@
         bool accepted = false;
     };
 
-    // A watch that was ended, neither so late that it must have was_accepted nor so soon that it cannot have
-    // waited in a line. How long discovery lets calls wait, as the next failure shows, tells.
+    // A watch that was ended after a time in which it may have been either queued or accepted. The next call
+    // that fails shows how long discovery queues calls, which decides between the two.
     struct UnclearEnd {
         Instant ended_at;
         std::chrono::nanoseconds open_time;
@@ -89,21 +86,20 @@
     void set_complete_as_of(Instant at);
     void watch_ended(const Call &call, CallFailure failure, Instant now);
     void classify_unclear_end(const Call &call, Instant now);
-    void extend_outage(const Call &call); // a call of an outage has failed
+    void extend_outage(const Call &call); // after a failed call
     void end_outage();
     Instant silent_watch_expiry(const Call &call) const {
         return call.started_at + *call.max_wait + rules_.watch_overrun;
     }
 
     const LeaseRules rules_;
-    std::optional<Call> call_; // the one under way
-    std::optional<Instant> complete_at_; // the list lacks no change that discovery had by then
-    std::optional<Instant>
-        silent_watch_expires_at_; // bound of a watch that fell timed_out, until the next answer
+    std::optional<Call> call_; // in progress
+    std::optional<Instant> complete_at_; // the list has every change that discovery had by then
+    std::optional<Instant> silent_watch_expires_at_; // set when a watch times out, until the next answer
     std::optional<UnclearEnd> unclear_end_;
-    std::optional<Instant> outage_until_; // in an outage: as presumed
-    int failed_calls_in_outage_ = 0; // calls
-    Instant revoked_at_ = Instant::max(); // something unread, or of another address, counts from then on
+    std::optional<Instant> outage_until_; // presumed end; none: no outage
+    int failed_calls_in_outage_ = 0;
+    Instant revoked_at_ = Instant::max(); // when a change that was not read starts to count
 };
 
 } // namespace pineridge::membership
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,4 +1,4 @@
-// What a registry holds of hosts, as read. Plain data.
+// The records of hosts that are read from a registry. Plain data.
 #pragma once
 
 #include "base/address.hpp"
@@ -13,23 +13,23 @@
 
 struct Member {
     HostEntry entry;
-    Address address; // unset where the host is gone
+    Address address; // unset for a host that is gone
 };
 
-// One key as a registry tells it: `rev` is the revision at which it was last written.
+// One key as read from a registry.
 struct Record {
     std::string key;
-    std::int64_t revision = 0;
-    bool deleted = false; // the key was taken away, or its lease ran out
-    std::optional<Member> member{}; // none: its value cannot be read
-    std::string error{}; // then: why
-    std::string value{}; // as it was told, for the last known list
-    bool unchanged = false; // the view holds this key at this revision: its value was not read again
+    std::int64_t revision = 0; // at which the key was last written
+    bool deleted = false; // or its lease expired
+    std::optional<Member> member{}; // none: the value cannot be parsed
+    std::string error{}; // why the value cannot be parsed
+    std::string value{}; // as received, for the cached list
+    bool unchanged = false; // the view holds this revision already; the value was not parsed again
 };
 
-// The list as the module wants it.
+// Changes to the list of hosts, for the decision module.
 struct Listing {
-    std::vector<Member> members{}; // those that changed; the ones that left are gone
+    std::vector<Member> members{}; // changed hosts; removed ones have the status `gone`
 };
 
 } // namespace pineridge::membership
--- a/src/membership/protocol.hpp
+++ b/src/membership/protocol.hpp
@@ -1,5 +1,5 @@
-// The conversation with a registry on one connection: fed bytes and told the time, it knows no socket. What
-// it learns goes to whoever made it.
+// A registry's wire protocol on one connection, without I/O: it is fed received bytes and the time, and
+// returns the bytes to send. Derived classes report what they read to the owner that created them.
 #pragma once
 
 #include "logic.hpp"
@@ -12,16 +12,16 @@
 class Protocol {
   public:
     virtual ~Protocol() = default;
-    virtual void begin(Ticks now) = 0; // the connection stands
-    virtual bool feed(std::string_view bytes, Ticks now) = 0; // false: the connection is of no further use
-    virtual void set_time(Ticks now) = 0; // a bounded time may have passed: see `dead`
-    virtual std::string output() = 0; // bytes to be written now
-    // The other side has ended the connection; what that means is the conversation's matter.
+    virtual void begin(Ticks now) = 0; // the connection is established
+    virtual bool feed(std::string_view bytes, Ticks now) = 0; // false: close the connection
+    virtual void set_time(Ticks now) = 0; // may fail by a timeout, see has_failed()
+    virtual std::string output() = 0; // the bytes to send now
+    // The other side closed the connection, which is a failure unless the protocol overrides this.
     virtual void connection_closed() { fail("the connection ended"); }
 
     bool has_failed() const { return !failure_.empty(); }
     const std::string &failure() const { return failure_; }
-    // Nothing is left to be done: the connection may be closed, and nothing has failed.
+    // The protocol has completed without failure, and the connection may be closed.
     virtual bool finished() const { return false; }
 
   protected:
--- a/src/membership/registration.cpp
+++ b/src/membership/registration.cpp
@@ -23,9 +23,9 @@
     connection_.flush_output();
     timer_.cancel();
     unregister_timer_.expires_after(std::chrono::microseconds(own_.answer_timeout * 100));
-    unregister_timer_.async_wait([this](boost::system::error_code failed) {
-        if (failed || !done_) return;
-        // The lease takes the key away when it runs out.
+    unregister_timer_.async_wait([this](boost::system::error_code cancelled) {
+        if (cancelled || !done_) return;
+        // The registry deletes the key when its lease expires.
         log_.event(Level::warning, "registry.own", {{"key", own_.key}, {"left", "unknown"}});
         finish();
     });
--- a/src/membership/registration.hpp
+++ b/src/membership/registration.hpp
@@ -1,5 +1,5 @@
-// The driver of our own key in a registry: connects to one of its endpoints, keeps the key there, and takes
-// it away at the end.
+// Registers the router itself in a registry: connects to one of the endpoints, keeps the router's own key
+// there under a lease, and deletes it at shutdown.
 #pragma once
 
 #include "base/log.hpp"
@@ -11,13 +11,13 @@
 
 class Registration {
   public:
-    // What is handed over by reference must outlive the registration. `tls` may be none. One thread.
+    // What is passed by reference must outlive the registration. `tls` may be null. Single-threaded.
     Registration(asio::io_context &io, std::vector<Address> endpoints, etcd::LeasedKey own, std::string token,
                  tls::EngineFactory *tls, const Limits &limits, const Log &log, std::uint64_t seed,
                  ConnectionDriver::Clock clock);
 
     void begin();
-    // Takes the key away, within the told time for an answer at most; `done` is called once, then or after.
+    // Deletes the key. `done` is called once: when the registry has answered, or after the answer timeout.
     void unregister(std::function<void()> done);
     bool registered() const { return lease_.key_written; }
 
--- a/src/membership/source.cpp
+++ b/src/membership/source.cpp
@@ -21,33 +21,33 @@
     asio::co_spawn(io_, run(), asio::detached);
 }
 
-// What a router knew when it last ran serves until the registry answers: a registry that is away at a start
-// would else leave it without a host.
+// Uses the cached list until the registry answers, so that a router that starts while the registry is down
+// has hosts.
 void Source::load_cached_list() {
     if (options_.cache_file.empty()) return;
     const auto bytes = load_file(options_.cache_file, 64u << 20);
     if (!bytes) return;
     std::string why;
-    const auto known = decode_list(*bytes, options_.prefix, why);
-    if (!known) return log_.event(Level::warning, "registry.known", {{"ignored", why}});
+    const auto list = decode_list(*bytes, options_.prefix, why);
+    if (!list) return log_.event(Level::warning, "registry.known", {{"ignored", why}});
     std::vector<Record> records;
-    for (const auto &[key, value] : known->entries) records.push_back(make_record(read_, key, 0, value));
+    for (const auto &[key, value] : list->entries) records.push_back(make_record(read_, key, 0, value));
     view_.start_from(records);
     log_.event(
         Level::info, "registry.known",
-        {{"hosts", records.size()}, {"rev", known->revision}, {"age_ms", clock_() / 10 - known->written_ms}});
+        {{"hosts", records.size()}, {"rev", list->revision}, {"age_ms", clock_() / 10 - list->written_ms}});
     flush();
 }
 
-// At most once in a while, and never what is only doubted or not heard from a registry.
+// Writes the cache at most once per interval, and only a list that a registry has confirmed.
 void Source::save_cached_list() {
     if (options_.cache_file.empty() || !save_due_ || !view_.synced() || view_.has_doubted_hosts()) return;
     if (saved_at_ > 0 && clock_() - saved_at_ < options_.save_interval) return;
     saved_at_ = clock_();
     save_due_ = false;
-    CachedList known{view_.revision(), clock_() / 10, {}};
-    for (const Record &record : view_.records()) known.entries.emplace_back(record.key, record.value);
-    const std::string why = save_file(options_.cache_file, encode_list(known, options_.prefix));
+    CachedList list{view_.revision(), clock_() / 10, {}};
+    for (const Record &record : view_.records()) list.entries.emplace_back(record.key, record.value);
+    const std::string why = save_file(options_.cache_file, encode_list(list, options_.prefix));
     if (!why.empty()) log_.event(Level::warning, "registry.known", {{"not written", why}});
 }
 
@@ -57,8 +57,8 @@
     timer_.cancel();
 }
 
-asio::awaitable<void> Source::pause(Ticks span) {
-    timer_.expires_after(std::chrono::microseconds(std::max<Ticks>(1, span) * 100));
+asio::awaitable<void> Source::pause(Ticks duration) {
+    timer_.expires_after(std::chrono::microseconds(std::max<Ticks>(1, duration) * 100));
     co_await timer_.async_wait(as_tuple(use_awaitable));
 }
 
@@ -83,16 +83,17 @@
 
 asio::awaitable<std::string> Source::follow(int at, const std::string &address) {
     view_.set_time(clock_());
-    const std::uint64_t before = view_.update_count();
+    const std::uint64_t updates_before = view_.update_count();
     const std::string why = co_await connection_.run(
-        options_.endpoints[at], options_.make_protocol(view_, address), [this, at, before] {
+        options_.endpoints[at], options_.make_protocol(view_, address), [this, at, updates_before] {
             view_.set_time(clock_());
-            if (view_.synced() && view_.update_count() > before) endpoint_selector_.record_success(at);
+            if (view_.synced() && view_.update_count() > updates_before)
+                endpoint_selector_.record_success(at);
             flush();
         });
     if (options_.tls)
-        if (const std::string complaint = options_.tls->take_reload_error(); !complaint.empty())
-            log_.event(Level::warning, "registry.tls", {{"kept", complaint}});
+        if (const std::string error = options_.tls->take_reload_error(); !error.empty())
+            log_.event(Level::warning, "registry.tls", {{"kept", error}});
     view_.watch_ended();
     flush();
     co_return why;
--- a/src/membership/source.hpp
+++ b/src/membership/source.hpp
@@ -1,5 +1,5 @@
-// The driver of a registry of whatever kind: one connection at a time to one of its endpoints, the last known
-// list, and the view that both feed.
+// Follows a registry of any kind: holds one connection at a time to one of its endpoints, keeps the view of
+// its hosts, and caches the list of hosts on disk.
 #pragma once
 
 #include "base/log.hpp"
@@ -13,15 +13,15 @@
 struct SourceOptions {
     std::vector<Address> endpoints;
     std::string prefix;
-    std::string cache_file; // the last known list; empty: none is kept
-    Ticks save_interval = 50000;
+    std::string cache_file; // of the cached list; empty: no cache
+    Ticks save_interval = 50000; // at least, between two writes of the cache file
     ViewRules view_rules;
     EndpointRules endpoint_rules;
-    Ticks stale_after =
-        25000; // a view without a word for longer waits its turn with the others, if all were away
-    tls::EngineFactory *tls = nullptr; // plaintext
-    std::string protocol = "h2"; // told in the TLS handshake
-    // A conversation that follows the prefix on one connection and feeds the view.
+    // A view without updates for longer delays its full read, as EndpointSelector::read_delay says.
+    Ticks stale_after = 25000;
+    tls::EngineFactory *tls = nullptr; // null: plaintext
+    std::string protocol = "h2"; // offered by ALPN in the TLS handshake
+    // Creates the protocol that follows the prefix on one connection and feeds the view.
     std::function<std::shared_ptr<Protocol>(View &view, const std::string &authority)> make_protocol;
 };
 
@@ -29,19 +29,20 @@
   public:
     using ListingHandler = std::function<void(const Listing &)>;
 
-    // What is handed over by reference must outlive the source. `read` makes a host of a value. One thread.
+    // What is passed by reference must outlive the source. `read` parses a value. `on_listing` receives each
+    // change of the list. Single-threaded.
     Source(asio::io_context &io, SourceOptions options, ReadValue read, const Limits &limits, const Log &log,
            std::uint64_t seed, ConnectionDriver::Clock clock, ListingHandler on_listing);
 
     void begin();
-    void stop(); // ends the connection; nothing is told any more
+    void stop(); // closes the connection; `on_listing` is not called any more
     const View &view() const { return view_; }
-    std::size_t received_bytes() const { return connection_.received_bytes(); } // bytes
+    std::size_t received_bytes() const { return connection_.received_bytes(); }
 
   private:
     asio::awaitable<void> run();
-    asio::awaitable<std::string> follow(int at, const std::string &address); // why it ended
-    asio::awaitable<void> pause(Ticks span);
+    asio::awaitable<std::string> follow(int at, const std::string &address); // returns why it ended
+    asio::awaitable<void> pause(Ticks duration);
     void flush();
     void load_cached_list();
     void save_cached_list();
--- a/src/membership/value.cpp
+++ b/src/membership/value.cpp
@@ -9,8 +9,8 @@
     try {
         record.member = read(record.key, value);
         record.value = value;
-    } catch (const std::exception &bad) {
-        record.error = bad.what();
+    } catch (const std::exception &error) {
+        record.error = error.what();
     }
     return record;
 }
--- a/src/membership/value.hpp
+++ b/src/membership/value.hpp
@@ -1,4 +1,4 @@
-// A registry's value as a host: JSON in the form of discovery's entries.
+// Parses a registry's values: hosts as JSON, in the format of discovery's entries.
 #pragma once
 
 #include "membership/member.hpp"
@@ -8,10 +8,11 @@
 
 namespace pineridge::membership {
 
-// Throws BadInput naming the field.
+// Parses a value. Throws BadInput naming the field.
 using ReadValue = std::function<Member(const std::string &key, std::string_view value)>;
 
-// The record of a key and its value; a value that cannot be read leaves the member out and says why.
+// Returns the record of a key and its value. If the value cannot be parsed, `error` says why and `member` is
+// unset.
 Record make_record(const ReadValue &read, std::string key, std::int64_t rev, std::string_view value);
 
 } // namespace pineridge::membership
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxUnreadableLines = 256;
+constexpr std::size_t kMaxPendingLogLines = 256; // above which unreadable keys are only counted
 
 } // namespace
 
@@ -17,7 +17,7 @@
         if (!doubted_.empty()) next_action_ = NextAction::full_read;
     }
     if (doubted_since_ < 0 || now_ < doubted_since_ + rules_.doubt_timeout) return;
-    log_lines_.push_back("doubt over: " + std::to_string(doubted_.size()) + " hosts gone for good");
+    log_lines_.push_back("doubt timed out: " + std::to_string(doubted_.size()) + " missing hosts removed");
     remove_doubted();
 }
 
@@ -33,12 +33,12 @@
     behind_since_ = -1;
 }
 
-void View::start_from(const std::vector<Record> &known) {
+void View::start_from(const std::vector<Record> &cached) {
     if (synced_) return;
-    for (const Record &record : known) {
-        Record old = record;
-        old.revision = 0; // whatever the registry tells is newer
-        put(old);
+    for (const Record &record : cached) {
+        Record cached_record = record;
+        cached_record.revision = 0; // any revision from the registry is newer
+        put(cached_record);
     }
 }
 
@@ -51,7 +51,7 @@
 void View::abort_read() {
     reading_ = false;
     read_records_.clear();
-    // What was told beside it counts.
+    // Changes received during the read stay valid.
     for (const Record &record : std::exchange(pending_changes_, {})) apply_change(record);
     next_action_ = NextAction::full_read;
 }
@@ -66,14 +66,17 @@
     if (revision >= revision_) return false;
     if (behind_since_ < 0) behind_since_ = now_;
     if (now_ - behind_since_ < rules_.max_lag_time) {
-        log_lines_.push_back("a member that lags: revision " + std::to_string(revision) + " below " +
+        log_lines_.push_back("member is behind: revision " + std::to_string(revision) + " below " +
                              std::to_string(revision_));
         return true;
     }
-    log_lines_.push_back("the registry counts anew: revision " + std::to_string(revision) + " after " +
+    log_lines_.push_back("registry revisions were reset: revision " + std::to_string(revision) + " after " +
                          std::to_string(revision_));
     revision_ = 0;
-    for (auto &[key, held] : entries_) held.record.revision = 0, held.before_reset = true;
+    for (auto &[key, entry] : entries_) {
+        entry.record.revision = 0;
+        entry.before_reset = true;
+    }
     deleted_.clear();
     return false;
 }
@@ -87,33 +90,34 @@
         return;
     }
     const std::map<std::string, Record> read = std::exchange(read_records_, {});
-    std::set<std::string> lacking;
+    std::set<std::string> missing;
     std::size_t usable = 0;
-    for (const auto &[key, held] : entries_) {
-        usable += held.record.member.has_value();
-        if (!read.count(key) && held.record.revision <= revision) lacking.insert(key);
+    for (const auto &[key, entry] : entries_) {
+        usable += entry.record.member.has_value();
+        if (!read.count(key) && entry.record.revision <= revision) missing.insert(key);
     }
     for (const auto &[key, record] : read) {
-        const auto gone = deleted_.find(key);
-        if (gone != deleted_.end() && gone->second >= record.revision)
-            continue; // told gone by a word that is newer
+        const auto deleted = deleted_.find(key);
+        if (deleted != deleted_.end() && deleted->second >= record.revision)
+            continue; // a newer change deleted the key
         if (!record.unchanged) put(record);
     }
     deleted_.clear();
-    // Stops a registry that came back empty, or half, from emptying the fleet; costs the told time when it is
-    // true.
-    const bool many = lacking.size() >= rules_.min_doubted_hosts &&
-                      static_cast<double>(lacking.size()) >= rules_.doubt_share * static_cast<double>(usable);
+    // Prevents a registry that lost all or part of its data from removing the whole fleet. If the hosts
+    // really are gone, their removal is delayed until a second read or the timeout.
+    const bool many_missing =
+        missing.size() >= rules_.min_doubted_hosts &&
+        static_cast<double>(missing.size()) >= rules_.doubt_share * static_cast<double>(usable);
     const bool confirmed = doubted_since_ >= 0 && now_ - doubted_since_ >= rules_.confirm_after &&
-                           std::includes(doubted_.begin(), doubted_.end(), lacking.begin(), lacking.end());
-    if (!many || confirmed) {
-        doubted_ = lacking;
+                           std::includes(doubted_.begin(), doubted_.end(), missing.begin(), missing.end());
+    if (!many_missing || confirmed) {
+        doubted_ = missing;
         remove_doubted();
     } else {
         if (doubted_since_ < 0) doubted_since_ = now_;
-        log_lines_.push_back("doubt: " + std::to_string(lacking.size()) + " of " + std::to_string(usable) +
+        log_lines_.push_back("doubt: " + std::to_string(missing.size()) + " of " + std::to_string(usable) +
                              " hosts missing at revision " + std::to_string(revision));
-        doubted_ = std::move(lacking);
+        doubted_ = std::move(missing);
         confirm_at_ = now_ + rules_.confirm_after;
     }
     record_update(revision);
@@ -124,17 +128,17 @@
 
 void View::apply_change(const Record &record) {
     if (reading_) {
-        // A drain is honoured at once, whatever is being read; the rest is sorted in when the read has ended.
+        // A drain or deletion applies at once, even during a read; other changes apply when the read ends.
         if (pending_changes_.size() < rules_.max_hosts) pending_changes_.push_back(record);
         const auto at = entries_.find(record.key);
-        const bool narrows =
+        const bool removes_capacity =
             record.deleted || (record.member && record.member->entry.status != HostStatus::ready);
-        if (at == entries_.end() || !narrows) return;
+        if (at == entries_.end() || !removes_capacity) return;
     }
     const auto at = entries_.find(record.key);
     if (at != entries_.end() && record.revision <= at->second.record.revision) return;
-    const auto gone = deleted_.find(record.key);
-    if (at == entries_.end() && gone != deleted_.end() && record.revision <= gone->second) return;
+    const auto deleted = deleted_.find(record.key);
+    if (at == entries_.end() && deleted != deleted_.end() && record.revision <= deleted->second) return;
     record_update(record.revision);
     doubted_.erase(record.key);
     if (doubted_.empty()) doubted_since_ = -1;
@@ -152,20 +156,20 @@
 }
 
 void View::watch_compacted() {
-    log_lines_.push_back("resume from " + std::to_string(revision_ + 1) + " is compacted: reading the whole");
+    log_lines_.push_back("resume from " + std::to_string(revision_ + 1) + " is compacted: reading in full");
     next_action_ = NextAction::full_read;
 }
 
 void View::watch_missed(const std::string &what) {
-    log_lines_.push_back("the watch has missed " + what + ": reading the whole");
+    log_lines_.push_back("the watch has missed " + what + ": reading in full");
     next_action_ = NextAction::full_read;
 }
 
 std::int64_t View::revision_of(const std::string &key) const {
     const auto at = entries_.find(key);
-    const auto faulty = unreadable_keys_.find(key);
+    const auto unreadable = unreadable_keys_.find(key);
     return std::max(at == entries_.end() ? 0 : at->second.record.revision,
-                    faulty == unreadable_keys_.end() ? 0 : faulty->second);
+                    unreadable == unreadable_keys_.end() ? 0 : unreadable->second);
 }
 
 void View::check_member_revision(std::int64_t revision) {
@@ -175,9 +179,9 @@
 
 void View::report_unreadable(const Record &record) {
     ++unreadable_count_;
-    const bool named = unreadable_keys_.count(record.key) > 0;
+    const bool already_logged = unreadable_keys_.count(record.key) > 0;
     unreadable_keys_[record.key] = record.revision;
-    if (!named && log_lines_.size() < kMaxUnreadableLines)
+    if (!already_logged && log_lines_.size() < kMaxPendingLogLines)
         log_lines_.push_back("unreadable: " + record.key + ": " + record.error);
     if (unreadable_keys_.size() > rules_.max_hosts) unreadable_keys_.erase(unreadable_keys_.begin());
 }
@@ -193,18 +197,20 @@
     unreadable_keys_.erase(record.key);
     if (at == entries_.end()) {
         if (entries_.size() >= rules_.max_hosts)
-            return report_unreadable({record.key, record.revision, false, {}, "over the bound of hosts"});
+            return report_unreadable(
+                {record.key, record.revision, false, {}, "over the limit on the number of hosts"});
         entries_[record.key] = {record, false};
         return mark_changed(record.key);
     }
     if (record.revision < at->second.record.revision) return;
     doubted_.erase(record.key);
-    HostEntry before = at->second.record.member->entry;
-    const bool anew = std::exchange(at->second.before_reset, false);
+    HostEntry previous = at->second.record.member->entry;
+    const bool before_reset = std::exchange(at->second.before_reset, false);
     at->second.record = record;
     HostEntry &entry = at->second.record.member->entry;
-    if (anew && before.status == HostStatus::draining && before.started == entry.started)
-        entry.status = before.status;
+    // Data restored from before a drain must not put a draining host back into service.
+    if (before_reset && previous.status == HostStatus::draining && previous.started == entry.started)
+        entry.status = previous.status;
     mark_changed(record.key);
 }
 
@@ -227,9 +233,9 @@
     for (HostEntry &entry : removed_hosts_) listing.members.push_back({std::move(entry), {}});
     removed_hosts_.clear();
     for (const std::string &key : std::exchange(changed_, {})) {
-        Entry &held = entries_.at(key);
-        held.listed = true;
-        listing.members.push_back(*held.record.member);
+        Entry &entry = entries_.at(key);
+        entry.listed = true;
+        listing.members.push_back(*entry.record.member);
     }
     return listing;
 }
@@ -238,7 +244,7 @@
 
 std::vector<Record> View::records() const {
     std::vector<Record> all;
-    for (const auto &[key, held] : entries_) all.push_back(held.record);
+    for (const auto &[key, entry] : entries_) all.push_back(entry.record);
     return all;
 }
 
--- a/src/membership/view.hpp
+++ b/src/membership/view.hpp
@@ -1,17 +1,18 @@
-// The view of a registry's hosts: fed whole reads and changes, each with the registry's revision, and told
-// the time; yields the list as the module wants it and says what to ask next. No I/O, no clock. The same
-// inputs in the same order give the same outputs.
-// - A change at or below the revision of its key changes nothing: late, repeated and crossing words are
-// harmless.
-// - A key that has gone is a host that is gone; one that returns with another start is another process.
-// - A value that cannot be read leaves its host as it was; it is named once and counted.
-// - A whole read that lacks many hosts at once is doubted: they stay until a second read, from a revision no
-// lower,
-//   lacks them too, or the told time has passed. Drains and deletions told one by one are never doubted.
-// - What tells a revision below one that was seen is not believed. Where nothing else is told for long, the
-// registry
-//   has lost its data: its count is taken anew, what is missing is doubted, and no host that drains comes
-//   back to life unless it has started again.
+// View: the list of hosts as one registry reports it. A protocol feeds it full reads and single changes, each
+// with the registry's revision, and sets its time; the view yields the changes for the decision module and
+// says what the protocol should do next. It does no I/O, reads no clock, and is deterministic: the same
+// inputs in the same order give the same outputs. Not thread-safe. Times are in ticks.
+// - A change at or below the revision held for its key is ignored, so late, repeated and reordered updates do
+//   no harm.
+// - A deleted key removes its host. A key that returns with another start time is another process.
+// - A value that cannot be parsed leaves its host as it was. The key is logged once and counted.
+// - A full read that lacks many hosts at once is doubted: the hosts stay until a second read at the same or a
+//   later revision lacks them too, or until the doubt times out. Single drains and deletions are never
+//   doubted.
+// - Data at a revision below one already seen is ignored, as it comes from a member that lags. If nothing
+// newer
+//   arrives for `max_lag_time`, the registry has lost its data and restarted its revisions: they are
+//   accepted, missing hosts are doubted, and a draining host stays draining unless it has started again.
 #pragma once
 
 #include "membership/member.hpp"
@@ -23,15 +24,16 @@
 namespace pineridge::membership {
 
 struct ViewRules {
-    double doubt_share = 0.5; // of the hosts, dropped by one whole read: doubted from here on
-    std::size_t min_doubted_hosts = 3; // and so many hosts at least
-    Ticks doubt_timeout = 50000;
-    Ticks confirm_after = 10000; // the second read
-    Ticks max_lag_time =
-        100000; // only lower revisions for so long: the registry has lost its data and counts anew
-    std::size_t max_hosts = 20000; // hosts; those beyond are passed over, named and counted
+    // A full read is doubted if it lacks at least this share of the hosts, and at least this many.
+    double doubt_share = 0.5;
+    std::size_t min_doubted_hosts = 3;
+    Ticks doubt_timeout = 50000; // after which doubted hosts are removed
+    Ticks confirm_after = 10000; // from the doubted read to the read that confirms it
+    Ticks max_lag_time = 100000; // of only lower revisions, after which the registry has lost its data
+    std::size_t max_hosts = 20000; // hosts beyond are ignored, logged and counted
 };
 
+// What the protocol should do next.
 enum class NextAction { none, full_read, resume_watch, change_endpoint };
 
 class View {
@@ -40,51 +42,48 @@
 
     // Inputs.
     void set_time(Ticks now);
-    void start_from(const std::vector<Record> &known); // the last known list: believed until a registry tells
-    // A whole read: pages of one revision, between begin and end. Changes may come meanwhile and are kept.
+    // Uses a cached list until the registry answers. Any revision from the registry is newer.
+    void start_from(const std::vector<Record> &cached);
+    // A full read: pages of one revision, between begin and end. Changes that arrive meanwhile are kept.
     void begin_read();
     void add_page(const std::vector<Record> &records);
     void end_read(std::int64_t revision);
-    void abort_read(); // it broke off: nothing of it is believed
+    void abort_read(); // discards the pages of an incomplete read
     void apply_change(const Record &record);
-    void record_progress(std::int64_t revision); // nothing has changed up to there
-    void watch_ended(); // the watch ended, or is dead although open
-    void watch_compacted(); // the revision to resume from is no longer held
-    void watch_missed(
-        const std::string &what); // the watch has not told all it should have: the whole is read again
-    void check_member_revision(
-        std::int64_t revision); // the revision that the member spoken to claims to stand at
+    void record_progress(std::int64_t revision); // nothing has changed up to this revision
+    void watch_ended(); // the watch ended, or is open but dead
+    void watch_compacted(); // the registry no longer holds the revision to resume from
+    void watch_missed(const std::string &what); // the watch omitted an update: a full read follows
+    void check_member_revision(std::int64_t revision); // as reported by the connected registry member
 
     // Outputs.
-    std::optional<Listing> take_listing(); // what has changed since the last time; nothing where nothing has
-    NextAction take_next_action(); // given once
+    std::optional<Listing> take_listing(); // the changes since the last call, if any
+    NextAction take_next_action(); // each action is returned once
     std::vector<std::string> take_log_lines() { return std::exchange(log_lines_, {}); }
 
-    // What stands.
+    // State.
     std::int64_t revision() const { return revision_; }
-    Ticks age() const {
-        return updated_at_ < 0 ? -1 : now_ - updated_at_;
-    } // of the last word; below 0: none yet
-    bool synced() const { return synced_; }
-    std::uint64_t update_count() const { return update_count_; } // believed so far
+    // Ticks since the last accepted update; negative before the first.
+    Ticks age() const { return updated_at_ < 0 ? -1 : now_ - updated_at_; }
+    bool synced() const { return synced_; } // a full read has been accepted
+    std::uint64_t update_count() const { return update_count_; } // accepted so far
     bool has_doubted_hosts() const { return !doubted_.empty(); }
-    // Until a second read confirms what is doubted; a tenth of a millisecond at least.
+    // Ticks until a second read can confirm the doubted hosts as missing; at least 1.
     Ticks time_to_confirmation() const {
         return std::max<Ticks>(1, doubted_since_ < 0 ? 0 : doubted_since_ + rules_.confirm_after - now_);
     }
-    std::size_t unreadable_count() const { return unreadable_count_; }
-    const std::map<std::string, std::int64_t> &unreadable_keys() const {
-        return unreadable_keys_;
-    } // keys, with their revision
+    std::size_t unreadable_count() const { return unreadable_count_; } // values that could not be parsed
+    // The keys whose values could not be parsed, with their revisions.
+    const std::map<std::string, std::int64_t> &unreadable_keys() const { return unreadable_keys_; }
     std::vector<Record> records() const;
-    std::int64_t revision_of(const std::string &key) const; // 0: not held
+    std::int64_t revision_of(const std::string &key) const; // 0: the key is not held
     std::size_t host_count() const { return entries_.size(); }
 
   private:
     struct Entry {
         Record record;
-        bool listed = false; // the module knows it
-        bool before_reset = false; // it was known before the registry lost its data
+        bool listed = false; // has been returned by take_listing
+        bool before_reset = false; // held since before the registry lost its data
     };
 
     void put(const Record &record);
@@ -96,18 +95,21 @@
     void report_unreadable(const Record &record);
 
     const ViewRules rules_;
-    Ticks now_ = 0, updated_at_ = -1, behind_since_ = -1, doubted_since_ = -1, confirm_at_ = -1;
+    Ticks now_ = 0;
+    // Negative: not set.
+    Ticks updated_at_ = -1, behind_since_ = -1, doubted_since_ = -1, confirm_at_ = -1;
     std::int64_t revision_ = 0;
     std::uint64_t update_count_ = 0;
     bool synced_ = false, reading_ = false;
     NextAction next_action_ = NextAction::full_read;
     std::map<std::string, Entry> entries_; // by key
-    std::map<std::string, std::int64_t> deleted_; // keys gone since the last whole read, with their revision
-    std::map<std::string, Record> read_records_; // the read under way
-    std::vector<Record> pending_changes_; // changes while it is
-    std::set<std::string> doubted_, changed_;
-    std::map<std::string, std::int64_t> unreadable_keys_; // keys named as unreadable, with their revision
-    std::vector<HostEntry> removed_hosts_; // hosts gone since the last take
+    std::map<std::string, std::int64_t>
+        deleted_; // keys deleted since the last full read, with their revision
+    std::map<std::string, Record> read_records_; // of the full read in progress
+    std::vector<Record> pending_changes_; // received during the full read
+    std::set<std::string> doubted_, changed_; // keys
+    std::map<std::string, std::int64_t> unreadable_keys_; // with their revision
+    std::vector<HostEntry> removed_hosts_; // since the last take_listing
     std::size_t unreadable_count_ = 0;
     std::vector<std::string> log_lines_;
 };
--- a/tests/membership/blocking_test.cpp
+++ b/tests/membership/blocking_test.cpp
@@ -235,7 +235,7 @@
     fixture.registry().lose_data();
     fixture.registry().start();
     fixture.until([&] { return fixture.has_logged("doubt: 4 of 4"); });
-    assert(fixture.has_logged("counts anew") && fixture.list_text() == "a+b+c+d+");
+    assert(fixture.has_logged("registry revisions were reset") && fixture.list_text() == "a+b+c+d+");
     // A change of a single key is not doubted.
     fixture.registry().put(BlockingFixture::key("a"), host_value("terminating"));
     fixture.until([&] { return fixture.list["a"] == HostStatus::draining; });
--- a/tests/membership/cache_test.cpp
+++ b/tests/membership/cache_test.cpp
@@ -34,9 +34,9 @@
         changed[at] = static_cast<char>(changed[at] ^ 1);
         assert(!refusal(changed).empty());
     }
-    assert(refusal(good, "/other/") == "a list of another prefix");
-    assert(refusal("pineridge-list 2 0 0 0 0\n\nxxh64 0000000000000000\n") == "a list of another version");
-    assert(refusal("PNG") == "not a list");
+    assert(refusal(good, "/other/") == "host list of another prefix");
+    assert(refusal("pineridge-list 2 0 0 0 0\n\nxxh64 0000000000000000\n") == "host list of another version");
+    assert(refusal("PNG") == "not a host list");
 }
 
 void a_file_is_replaced_as_a_whole() {
--- a/tests/membership/source_test.cpp
+++ b/tests/membership/source_test.cpp
@@ -166,7 +166,7 @@
     const int serving = world.registry(0).watches() > 0 ? 0 : 1;
     world.registry(1 - serving).lag(2);
     world.registry(serving).stop();
-    world.until([&] { return world.has_logged("a member that lags"); });
+    world.until([&] { return world.has_logged("member is behind: revision"); });
     assert(world.list_text() == "a-b-c+d+");
     world.registry(1 - serving).lag(0);
     world.registry(1 - serving).put(World::key("c"), value("terminating"));
@@ -183,7 +183,7 @@
     world.registry().lose_data();
     world.registry().start();
     world.until([&] { return world.has_logged("doubt: 4 of 4"); });
-    assert(world.has_logged("counts anew"));
+    assert(world.has_logged("registry revisions were reset"));
     assert(world.list_text() == "a+b+c+d+");
     world.until_list("");
     world.settled();
