--- a/tests/membership/command_test.cpp
+++ b/tests/membership/command_test.cpp
@@ -1,5 +1,5 @@
-// The program against a registry over TLS: the sub-commands as a person calls them, and a daemon that keeps
-// its own key there and takes it away before it ends.
+// Tests the program with a registry over TLS: the sub-commands as an operator runs them, and a daemon that
+// registers its own key and deletes it before it exits.
 #undef NDEBUG
 #include "../until.hpp"
 #include "standins/certificates/certificates.hpp"
@@ -29,18 +29,19 @@
     const std::string program = argv[1];
     asio::io_context io;
     LocalCluster town(io, ClusterOptions{});
-    const Authority theirs("theirs"), ours("ours");
-    const CertifiedKey server = theirs.issue("127.0.0.1"), mine = ours.issue("router");
-    const ServerTls secure{server.certificate, server.key, ours.certificate()};
+    const Authority registry_authority("theirs"), router_authority("ours");
+    const CertifiedKey server = registry_authority.issue("127.0.0.1"),
+                       router_papers = router_authority.issue("router");
+    const ServerTls secure{server.certificate, server.key, router_authority.certificate()};
     Registry registry(&secure);
     for (const char *id : {"h1", "h2"}) {
         const Host &host = town.host(id, "north", 1);
         registry.put(std::string("/hosts/") + id, host.entry().dump());
     }
     const auto path = [&](const char *name) { return (town.folder / name).string(); };
-    std::ofstream(path("ca")) << theirs.certificate();
-    std::ofstream(path("certificate")) << mine.certificate;
-    std::ofstream(path("key")) << mine.key;
+    std::ofstream(path("ca")) << registry_authority.certificate();
+    std::ofstream(path("certificate")) << router_papers.certificate;
+    std::ofstream(path("key")) << router_papers.key;
     std::ofstream(path("token")) << "token-of-ours\n";
     town.write_files();
     std::ofstream(path("settings.xml"))
@@ -57,7 +58,7 @@
            output_contains(dumped, "hosts 2, unreadable 0") &&
            output_contains(dumped, "/hosts/h1 rev 2 ready 127.0.0.1:") &&
            output_contains(dumped, " build 1"));
-    // No list was kept yet.
+    // There is no cached list yet.
     assert(run(io, town.folder, program, {"registry", "diff", "--settings", path("settings.xml")}).status ==
            2);
 
@@ -69,16 +70,17 @@
     until(io, [&] { return town.clients.open_rpcs() == 0; });
     assert(town.clients.rpcs().back().answer == "served");
     until(io, [&] { return std::filesystem::exists(path("known")); });
-    const ProgramResult same =
+    const ProgramResult no_difference =
         run(io, town.folder, program, {"registry", "diff", "--settings", path("settings.xml")});
-    assert(same.status == 0 && output_contains(same, "the same"));
+    assert(no_difference.status == 0 && output_contains(no_difference, "the same"));
     registry.remove("/hosts/h2");
     registry.put("/hosts/odd", "{");
     std::filesystem::copy_file(path("known"), path("kept"));
-    const ProgramResult other =
+    const ProgramResult difference =
         run(io, town.folder, program,
             {"registry", "diff", "--settings", path("settings.xml"), "--known", path("kept")});
-    assert(other.status == 1 && output_contains(other, "- /hosts/h2 ") && output_contains(other, "1 differ"));
+    assert(difference.status == 1 && output_contains(difference, "- /hosts/h2 ") &&
+           output_contains(difference, "1 differ"));
 
     Program watch(town.folder, program,
                   {"registry", "watch", "--settings", path("settings.xml"), "--for-s", "20"});
@@ -98,7 +100,7 @@
         assert(said.find("token-of-ours") == std::string::npos && said.find("PRIVATE") == std::string::npos);
     assert(daemon.output().find("registry.own key=/routers/n1 left=yes") != std::string::npos);
 
-    // A file that is not there is named, and nothing starts.
+    // A missing file is named in the error, and nothing starts.
     std::filesystem::remove(path("ca"));
     const ProgramResult refused =
         run(io, town.folder, program, {"registry", "dump", "--settings", path("settings.xml")});
--- a/tests/membership/daemon_test.cpp
+++ b/tests/membership/daemon_test.cpp
@@ -1,5 +1,5 @@
-// The daemon with its hosts from a registry: each drain is honoured within 250 ms of being told, in calm and
-// through breaks, compaction and words told to nobody.
+// Tests that a router with its hosts from a registry stops picking a host within 250 ms of its drain, also
+// when the watch breaks, its revision is compacted, or it misses an update.
 #undef NDEBUG
 #include "standins/checker/membership.hpp"
 #include "world.hpp"
@@ -10,12 +10,12 @@
 int main() {
     RegistryWorld world;
     standins::Host &host = world.town.hosts.front();
-    const auto nothing = [] {};
-    assert(world.drain_delay_ms(host, nothing, nothing) <= 250);
-    // The stream is cancelled just before the word: it is told by the next watch, which begins within 100 ms.
+    const auto no_fault = [] {};
+    assert(world.drain_delay_ms(host, no_fault, no_fault) <= 250);
+    // The stream is cancelled just before the update, so the next watch, within 100 ms, delivers it.
     assert(world.drain_delay_ms(
-               host, [&] { world.registry.cancel_streams(); }, nothing) <= 250 + 100);
-    // Compacted while nobody watches: the whole is read.
+               host, [&] { world.registry.cancel_streams(); }, no_fault) <= 250 + 100);
+    // The revision is compacted while no watch is open, so the router reads the list in full.
     assert(world.drain_delay_ms(
                host, [&] { world.registry.stop(); },
                [&] {
@@ -23,13 +23,13 @@
                    world.registry.start();
                }) <= 250 + 250);
     assert(world.has_logged("is compacted"));
-    // Told to nobody: found by the next look, 0.4 s apart.
+    // The update is sent to no watch; the audit, every 0.4 s, finds it.
     assert(world.drain_delay_ms(
-               host, [&] { world.registry.skip_events(1); }, nothing) <= 250 + 500);
+               host, [&] { world.registry.skip_events(1); }, no_fault) <= 250 + 500);
     assert(world.has_logged("the watch has missed /hosts/h0"));
-    // By the registry's record and the hosts', not the router's word.
-    const auto late = standins::late_picks(world.registry.sent_events(), world.town.picks, 250);
-    for (const std::string &one : late) std::cerr << one << "\n";
-    assert(late.empty());
+    // Checked by the records of the registry and the hosts, not by the router's log.
+    const auto late_picks = standins::late_picks(world.registry.sent_events(), world.town.picks, 250);
+    for (const std::string &one : late_picks) std::cerr << one << "\n";
+    assert(late_picks.empty());
     for (const auto &row : world.town.clients.rpcs()) assert(row.answer != "lost" && row.answer != "refused");
 }
--- a/tests/membership/fleet.hpp
+++ b/tests/membership/fleet.hpp
@@ -1,5 +1,6 @@
-// Many routers' worth of sources against one registry on grpc++, each with its own view, spread over some
-// loops; for the test and the measurement. A drain is timed from its writing until each view tells it.
+// Many sources, one for each router of a fleet, that follow one grpc++ registry, each with its own view, on
+// several event loops; for a test and a benchmark. A drain is timed from its writing until each view reports
+// it.
 #pragma once
 
 #include "list_value.hpp"
@@ -41,12 +42,13 @@
             auto &source = loop.sources.emplace_back();
             source = std::make_unique<Source>(
                 loop.io, std::move(options), read_value, limits_, log_, static_cast<std::uint64_t>(i) + 1,
-                [began = began_] { return ticks_since(began); }, [this](const Listing &told) { take(told); });
+                [began = began_] { return ticks_since(began); },
+                [this](const Listing &listing) { take(listing); });
             source->begin();
         }
         for (const auto &loop : loops_)
             loop->thread = std::thread([one = loop.get()] {
-                while (!one->over) one->io.run_for(std::chrono::milliseconds(20));
+                while (!one->stopped) one->io.run_for(std::chrono::milliseconds(20));
             });
     }
     ~SourceFleet() {
@@ -54,12 +56,13 @@
             boost::asio::post(loop->io, [one = loop.get()] {
                 for (const auto &source : one->sources) source->stop();
             });
-            std::this_thread::sleep_for(std::chrono::milliseconds(60)); // what is under way ends on its loop
-            loop->over = true;
+            std::this_thread::sleep_for(
+                std::chrono::milliseconds(60)); // pending handlers finish on their loop
+            loop->stopped = true;
             loop->thread.join();
         }
     }
-    // The value's start is the moment of its writing: each view that tells of a drain is timed by it.
+    // Writes the current time as the host's start time, from which the delay in each view is measured.
     void drain(const std::string &id) {
         registry_.put("/hosts/" + id,
                       R"({"state":"terminating","started_ms":)" + std::to_string(ticks_since(began_)) + "}");
@@ -68,10 +71,10 @@
         registry_.put("/hosts/" + id, R"({"state":"in_service","started_ms":0})");
     }
     std::vector<Ticks> take_drain_delays() {
-        const std::lock_guard hold(lock_);
+        const std::lock_guard guard(lock_);
         return std::exchange(drain_delays_, {});
     }
-    std::size_t received_entries() const { return received_entries_; } // entries, in all views
+    std::size_t received_entries() const { return received_entries_; } // in all views
     std::size_t received_bytes() const {
         std::size_t all = 0;
         for (const auto &loop : loops_)
@@ -84,13 +87,13 @@
         boost::asio::io_context io{1};
         std::vector<std::unique_ptr<Source>> sources;
         std::thread thread;
-        std::atomic<bool> over{false};
+        std::atomic<bool> stopped{false};
     };
     void take(const Listing &listing) {
         received_entries_ += listing.members.size();
         for (const Member &member : listing.members)
             if (member.entry.status == HostStatus::draining) {
-                const std::lock_guard hold(lock_);
+                const std::lock_guard guard(lock_);
                 drain_delays_.push_back(ticks_since(began_) - member.entry.started);
             }
     }
--- a/tests/membership/fleet_test.cpp
+++ b/tests/membership/fleet_test.cpp
@@ -1,6 +1,5 @@
-// Hard case 6 at the size that fits in CI: many watchers of one registry, hosts that change all the time;
-// every view is told of every drain, in the end all views hold what the registry holds. The times are
-// measured in bench/.
+// Hard case 6 at a size that fits in CI: many sources follow one registry whose hosts change all the time.
+// Every view receives every drain exactly once. The delays are measured in bench/.
 #undef NDEBUG
 #include "fleet.hpp"
 
@@ -13,11 +12,11 @@
 int main() {
     constexpr int kHosts = 1000, kRouters = 30, kChanges = 300, kDrains = 20;
     standins::Registry registry;
-    std::vector<standins::KeyChange> words;
+    std::vector<standins::KeyChange> updates;
     for (int i = 0; i < kHosts; ++i)
-        words.push_back(
+        updates.push_back(
             {0, "/hosts/h" + std::to_string(i), R"({"state":"in_service","started_ms":0})", false});
-    registry.write(words);
+    registry.write(updates);
     SourceFleet fleet(registry, kRouters, 2, 0);
     const auto until = [&](const std::function<bool()> &held) {
         const auto end = Clock::now() + std::chrono::seconds(60);
@@ -34,7 +33,8 @@
         if (i % (kChanges / kDrains) == 0) fleet.drain("h" + std::to_string(500 + i));
         if (i == kChanges / 2) registry.cancel_streams();
     }
-    std::size_t seen = 0;
-    until([&] { return (seen += fleet.take_drain_delays().size()) >= std::size_t{kDrains} * kRouters; });
-    assert(seen == std::size_t{kDrains} * kRouters); // each once in each view
+    std::size_t drains_seen = 0;
+    until(
+        [&] { return (drains_seen += fleet.take_drain_delays().size()) >= std::size_t{kDrains} * kRouters; });
+    assert(drains_seen == std::size_t{kDrains} * kRouters); // each drain once in each view
 }
--- a/tests/membership/lease_test.cpp
+++ b/tests/membership/lease_test.cpp
@@ -1,4 +1,5 @@
-// The lease on the list of hosts, fed by hand: each way in which a call ends, and what it leaves.
+// Tests the lease on the list of hosts: each way in which a call to discovery can end, and the lease after
+// it.
 #undef NDEBUG
 #include "membership/lease.hpp"
 
@@ -22,7 +23,7 @@
 
 Instant at(int ms) { return Instant(Milliseconds(100000 + ms)); }
 
-// A lease whose list was complete at 0, with no call under way.
+// Returns a lease whose list was complete at 0, with no call in progress.
 Lease answered_at_0() {
     Lease lease(kRules);
     lease.call_started(at(0), std::nullopt);
@@ -31,7 +32,7 @@
     return lease;
 }
 
-void a_list_of_unknown_age_holds_no_lease() {
+void a_list_of_unknown_age_has_no_lease() {
     Lease lease(kRules);
     assert(!lease.is_valid(at(0)) && lease.outage_until() == Instant::min());
     lease.call_started(at(0), std::nullopt);
@@ -39,13 +40,13 @@
     assert(!lease.is_valid(at(10)) && lease.outage_until() == Instant::min());
 }
 
-void an_answer_gives_a_lease_from_when_it_was_asked_for() {
+void the_lease_runs_from_when_the_answer_was_requested() {
     const Lease lease = answered_at_0();
     assert(lease.expires_at() == at(6000) && lease.is_valid(at(6000)) && !lease.is_valid(at(6001)));
 }
 
-// Failed calls do not extend it, whatever their kind, where no watch was ended.
-void failed_calls_leave_the_lease_as_it_is() {
+// If no watch was ended, failed calls of any kind do not extend the lease.
+void failed_calls_do_not_change_the_lease() {
     for (const CallFailure failure : {CallFailure::refused, CallFailure::connect_failed,
                                       CallFailure::connection_lost, CallFailure::timed_out}) {
         Lease lease = answered_at_0();
@@ -55,8 +56,9 @@
     }
 }
 
-// A watch waiting in a line is no lease; one that has not ended for long stands up to its wait's end.
-void a_watch_counts_once_it_stands() {
+// A queued watch does not extend the lease. One open for long enough was accepted, and extends it to its
+// wait's end.
+void a_watch_extends_the_lease_once_accepted() {
     Lease lease = answered_at_0();
     lease.call_started(at(100), Milliseconds(20000));
     lease.watch_still_open(at(4000));
@@ -64,12 +66,12 @@
     lease.watch_still_open(at(5100));
     assert(lease.expires_at() == at(22100));
     lease.answer_started(at(19000));
-    assert(lease.expires_at() == at(19150)); // what it holds counts soon, read whole or not
+    assert(lease.expires_at() == at(19150)); // the answer's changes count soon, even if it is incomplete
     lease.call_succeeded();
     assert(lease.expires_at() == at(19000 - 250 + 6000));
 }
 
-void a_silent_watch_holds_until_what_it_missed_counts() {
+void a_silent_watch_keeps_the_lease_for_its_overrun() {
     Lease lease = answered_at_0();
     lease.call_started(at(100), Milliseconds(10000));
     lease.watch_still_open(at(5100));
@@ -83,7 +85,7 @@
     assert(lease.expires_at() == at(19100));
 }
 
-// A connection that breaks may have been silent before, for no longer than a silent watch's bound.
+// A lost connection may have been silent before, for no longer than the bound of a silent watch.
 void a_watch_that_breaks_was_complete_up_to_a_bound() {
     Lease lease = answered_at_0();
     lease.call_started(at(100), Milliseconds(10000));
@@ -96,7 +98,7 @@
     assert(other.expires_at() == at(9000 - 250 + 6000));
 }
 
-// Discovery ended the watch, and each call since has failed: an outage is presumed, from call to call.
+// Discovery ended the watch and every call since has failed: each failed call extends the presumed outage.
 void an_outage_is_presumed_after_a_watch_was_ended() {
     Lease lease = answered_at_0();
     lease.call_started(at(100), Milliseconds(20000));
@@ -107,14 +109,14 @@
     assert(!lease.is_valid(at(6001)) && lease.outage_until() == at(9000));
     lease.call_started(at(8000), std::nullopt);
     lease.call_failed(CallFailure::refused, at(10000));
-    assert(lease.outage_until() == at(12000)); // it may be back and crowded by now: for less
+    assert(lease.outage_until() == at(12000)); // shorter: discovery may be back but loaded
     lease.call_started(at(14000), std::nullopt);
     lease.call_succeeded();
     assert(lease.outage_until() == Instant::min() && lease.expires_at() == at(20000));
 }
 
-// A watch that was turned away after a wait in the line, as the next call is, was never ended by an outage.
-void a_crowded_line_is_no_outage() {
+// A watch rejected after a wait in the queue, like the next call, was not ended by an outage.
+void rejection_after_queueing_is_no_outage() {
     Lease lease = answered_at_0();
     lease.call_started(at(100), Milliseconds(20000));
     lease.call_failed(CallFailure::refused, at(2100));
@@ -123,8 +125,8 @@
     assert(lease.outage_until() == Instant::min() && lease.expires_at() == at(6000));
 }
 
-// Nor is one that turns calls away at once: it takes no more, which one that is down could not tell.
-void a_full_line_ends_an_outages_presumption() {
+// A call rejected at once shows that discovery's queue is full, so discovery is up.
+void rejection_by_a_full_queue_ends_an_outage() {
     Lease lease = answered_at_0();
     lease.call_started(at(100), Milliseconds(20000));
     lease.call_failed(CallFailure::refused, at(102));
@@ -137,8 +139,8 @@
     assert(lease.outage_until() == Instant::min() && lease.expires_at() == at(6000));
 }
 
-// It was open for longer than the line lets calls wait: it stood, and told all up to its end.
-void a_watch_open_for_longer_than_the_line_had_stood() {
+// The watch was open for longer than discovery queues calls, so it was accepted and complete up to its end.
+void a_watch_open_longer_than_the_queue_wait_was_accepted() {
     Lease lease = answered_at_0();
     lease.call_started(at(100), Milliseconds(20000));
     lease.call_failed(CallFailure::refused, at(3100));
@@ -148,7 +150,7 @@
     assert(lease.expires_at() == at(3100 - 250 + 6000) && lease.outage_until() == at(9000));
 }
 
-// What an answer that breaks off held counts, and ends an outage's presumption.
+// The changes in an incomplete answer count as delivered. The answer also ends a presumed outage.
 void an_unreadable_answer_revokes_the_lease() {
     Lease lease = answered_at_0();
     lease.call_started(at(100), Milliseconds(20000));
@@ -165,7 +167,7 @@
     assert(lease.expires_at() == at(10000));
 }
 
-void a_move_revokes_it_after_its_time() {
+void a_move_revokes_the_lease_after_its_delay() {
     Lease lease = answered_at_0();
     lease.address_changed(at(1000));
     assert(lease.expires_at() == at(5000));
@@ -174,8 +176,8 @@
     assert(lease.expires_at() == at(7000));
 }
 
-// An agent beside the router learns nothing while it fails: only silence and unread answers end its lease.
-void an_agents_lease_outlasts_failed_calls() {
+// A local agent learns nothing while it fails: only a silent watch or an unread answer ends its lease.
+void a_local_agents_lease_survives_failed_calls() {
     LeaseRules rules = kRules;
     rules.expires_on_failure = false;
     Lease lease(rules);
@@ -194,17 +196,17 @@
 } // namespace
 
 int main() {
-    a_list_of_unknown_age_holds_no_lease();
-    an_answer_gives_a_lease_from_when_it_was_asked_for();
-    failed_calls_leave_the_lease_as_it_is();
-    a_watch_counts_once_it_stands();
-    a_silent_watch_holds_until_what_it_missed_counts();
+    a_list_of_unknown_age_has_no_lease();
+    the_lease_runs_from_when_the_answer_was_requested();
+    failed_calls_do_not_change_the_lease();
+    a_watch_extends_the_lease_once_accepted();
+    a_silent_watch_keeps_the_lease_for_its_overrun();
     a_watch_that_breaks_was_complete_up_to_a_bound();
     an_outage_is_presumed_after_a_watch_was_ended();
-    a_crowded_line_is_no_outage();
-    a_full_line_ends_an_outages_presumption();
-    a_watch_open_for_longer_than_the_line_had_stood();
+    rejection_after_queueing_is_no_outage();
+    rejection_by_a_full_queue_ends_an_outage();
+    a_watch_open_longer_than_the_queue_wait_was_accepted();
     an_unreadable_answer_revokes_the_lease();
-    a_move_revokes_it_after_its_time();
-    an_agents_lease_outlasts_failed_calls();
+    a_move_revokes_the_lease_after_its_delay();
+    a_local_agents_lease_survives_failed_calls();
 }
--- a/tests/membership/list_value.hpp
+++ b/tests/membership/list_value.hpp
@@ -1,4 +1,4 @@
-// A registry's values in the tests of membership: the id is the key's last part.
+// Parses a registry's values in the membership tests: the host's id is the last part of the key.
 #pragma once
 
 #include "membership/value.hpp"
--- a/tests/membership/own_key_test.cpp
+++ b/tests/membership/own_key_test.cpp
@@ -1,4 +1,4 @@
-// The router's own key under a lease, on loopback against a registry on grpc++.
+// Tests the registration of the router's own key under a lease, on loopback against a grpc++ registry.
 #undef NDEBUG
 #include "../until.hpp"
 #include "membership/registration.hpp"
@@ -16,17 +16,17 @@
 struct World {
     World() : log(logged, "n1", Level::info) {
         std::vector<Address> endpoints{read_address(registry.address(), "endpoint")};
-        own.emplace(io, endpoints, etcd::LeasedKey{kKey, "here", 1, 5000}, "", nullptr, limits, log, 7,
-                    [this] {
-                        return std::chrono::duration_cast<std::chrono::microseconds>(
-                                   std::chrono::steady_clock::now() - began)
-                                   .count() /
-                               100;
-                    });
+        registration.emplace(io, endpoints, etcd::LeasedKey{kKey, "here", 1, 5000}, "", nullptr, limits, log,
+                             7, [this] {
+                                 return std::chrono::duration_cast<std::chrono::microseconds>(
+                                            std::chrono::steady_clock::now() - began)
+                                            .count() /
+                                        100;
+                             });
     }
     ~World() {
-        if (!left) own->unregister([this] { left = true; });
-        until([&] { return left; });
+        if (!unregistered) registration->unregister([this] { unregistered = true; });
+        until([&] { return unregistered; });
         io.run_for(std::chrono::milliseconds(50));
     }
     void until(const std::function<bool()> &held,
@@ -34,7 +34,7 @@
         test::run_until(
             io, held, 20, [&] { return logged.str(); }, place);
     }
-    bool there() const { return registry.entries().count(kKey) > 0; }
+    bool key_exists() const { return registry.entries().count(kKey) > 0; }
 
     Registry registry;
     boost::asio::io_context io;
@@ -42,36 +42,36 @@
     std::ostringstream logged;
     Log log;
     Limits limits{};
-    std::optional<Registration> own;
-    bool left = false;
+    std::optional<Registration> registration;
+    bool unregistered = false;
 };
 
-void the_key_is_placed_renewed_and_taken_away() {
+void the_key_is_written_renewed_and_deleted() {
     World world;
-    world.own->begin();
-    world.until([&] { return world.there() && world.own->registered(); });
+    world.registration->begin();
+    world.until([&] { return world.key_exists() && world.registration->registered(); });
     assert(world.registry.entries().at(kKey) == "here" && world.registry.leases() == 1);
     world.until([&] { return world.registry.renewals() >= 3; });
-    world.own->unregister([&] { world.left = true; });
-    world.until([&] { return world.left; });
-    assert(!world.there() && world.registry.leases() == 0);
+    world.registration->unregister([&] { world.unregistered = true; });
+    world.until([&] { return world.unregistered; });
+    assert(!world.key_exists() && world.registry.leases() == 0);
 }
 
-// The lease ran out while nobody looked: it shows at the next renewal, and the key is placed anew.
-void a_lease_that_ran_out_is_asked_for_anew() {
+// The lease expired unnoticed: the next renewal shows it, and the key is written under a new lease.
+void an_expired_lease_is_requested_again() {
     World world;
-    world.own->begin();
-    world.until([&] { return world.there() && world.registry.renewals() >= 1; });
+    world.registration->begin();
+    world.until([&] { return world.key_exists() && world.registry.renewals() >= 1; });
     world.registry.expire_leases();
-    world.until([&] { return world.there(); });
+    world.until([&] { return world.key_exists(); });
     assert(world.registry.leases() == 1);
 }
 
-// A new connection goes on with the lease that stands, and asks for another where it does not.
-void a_break_keeps_the_lease_that_stands() {
+// A new connection continues the existing lease, or requests a new one if it has expired.
+void a_new_connection_keeps_the_lease() {
     World world;
-    world.own->begin();
-    world.until([&] { return world.there() && world.registry.renewals() >= 1; });
+    world.registration->begin();
+    world.until([&] { return world.key_exists() && world.registry.renewals() >= 1; });
     const std::int64_t rev = world.registry.revision();
     world.registry.stop();
     world.until([&] { return world.logged.str().find("why=") != std::string::npos; });
@@ -82,28 +82,29 @@
     world.registry.stop();
     world.registry.expire_leases();
     world.registry.start();
-    world.until([&] { return world.there(); });
+    world.until([&] { return world.key_exists(); });
     assert(world.registry.leases() == 1);
 }
 
-// Open and dead: left in time. Leaving is bounded too: the lease takes the key away.
-void a_silent_registry_holds_up_nothing() {
+// The connection is open but dead: it is closed after a timeout. Unregistering is bounded too, as the lease
+// expires.
+void a_silent_registry_delays_nothing() {
     World world;
-    world.own->begin();
-    world.until([&] { return world.there() && world.registry.renewals() >= 1; });
+    world.registration->begin();
+    world.until([&] { return world.key_exists() && world.registry.renewals() >= 1; });
     world.registry.mute(true);
     world.until([&] { return world.logged.str().find("no answer") != std::string::npos; });
     world.registry.stop();
-    world.own->unregister([&] { world.left = true; });
-    world.until([&] { return world.left; });
+    world.registration->unregister([&] { world.unregistered = true; });
+    world.until([&] { return world.unregistered; });
     assert(world.logged.str().find("left=unknown") != std::string::npos);
 }
 
 } // namespace
 
 int main() {
-    the_key_is_placed_renewed_and_taken_away();
-    a_lease_that_ran_out_is_asked_for_anew();
-    a_break_keeps_the_lease_that_stands();
-    a_silent_registry_holds_up_nothing();
+    the_key_is_written_renewed_and_deleted();
+    an_expired_lease_is_requested_again();
+    a_new_connection_keeps_the_lease();
+    a_silent_registry_delays_nothing();
 }
--- a/tests/membership/source_test.cpp
+++ b/tests/membership/source_test.cpp
@@ -1,5 +1,5 @@
-// The etcd source on loopback against a registry on grpc++: the hard cases, decided by events. After each the
-// view is set against the registry's own state.
+// Tests the etcd source on loopback against a grpc++ registry, through each fault of a registry and its
+// watch. After each fault, the view is compared with the registry's own state.
 #undef NDEBUG
 #include "membership/etcd/follower.hpp"
 #include "source_world.hpp"
@@ -18,19 +18,19 @@
 std::string value(const std::string &state, int started = 0) { return host_value(state, started); }
 
 struct World : SourceWorld {
-    explicit World(int registries = 1) : registries_(static_cast<std::size_t>(registries)) {
-        for (auto &one : registries_) one = std::make_unique<Registry>();
+    explicit World(int count = 1) : registries(static_cast<std::size_t>(count)) {
+        for (auto &one : registries) one = std::make_unique<Registry>();
         for (const char *id : {"a", "b", "c", "d"}) registry().put(key(id), value("in_service"));
     }
 
-    Registry &registry(int at = 0) { return *registries_[static_cast<std::size_t>(at)]; }
+    Registry &registry(int at = 0) { return *registries[static_cast<std::size_t>(at)]; }
     static std::string key(const std::string &id) { return "/hosts/" + id; }
     void begin() {
         SourceOptions options;
-        for (const auto &one : registries_)
+        for (const auto &one : registries)
             options.endpoints.push_back(read_address(one->address(), "endpoint"));
         options.prefix = "/hosts/";
-        options.cache_file = known;
+        options.cache_file = cache_file;
         options.stale_after = 4000;
         options.endpoint_rules = {500, 2000, 0};
         options.view_rules.doubt_timeout = 10000;
@@ -42,8 +42,8 @@
         };
         SourceWorld::begin(std::move(options));
     }
-    // In the end the view holds what the registry holds, but for values that cannot be read.
-    void settled(const std::vector<std::string> &unreadable = {}, int at = 0) {
+    // Waits until the view equals the registry, except for values that cannot be parsed.
+    void until_consistent(const std::vector<std::string> &unreadable = {}, int at = 0) {
         until([&] {
             std::map<std::string, std::string> held, seen;
             for (const auto &[key, value] : registry(at).entries())
@@ -52,19 +52,19 @@
             return standins::differences(held, seen, unreadable).empty();
         });
     }
-    void watched(int times = 1) {
+    void until_watched(int times = 1) {
         until([&] { return registry().watches() >= times && source->view().synced(); });
     }
 
-    std::vector<std::unique_ptr<Registry>> registries_;
-    std::string known;
+    std::vector<std::unique_ptr<Registry>> registries;
+    std::string cache_file;
 };
 
 void a_list_is_read_in_pages_and_followed() {
     World world;
     world.begin();
     world.until_list("a+b+c+d+");
-    world.watched();
+    world.until_watched();
     world.registry().put(World::key("a"), value("terminating"));
     world.until_list("a-b+c+d+");
     world.registry().remove(World::key("a"));
@@ -74,15 +74,15 @@
     world.registry().put(World::key("b"), "{not json");
     world.until([&] { return world.has_logged("unreadable: /hosts/b"); });
     assert(world.list_text() == "b+c+d+e+");
-    world.settled({World::key("b")});
+    world.until_consistent({World::key("b")});
 }
 
-// Hard case 1: what it would resume from is compacted; one host was drained and one deleted meanwhile.
+// Hard case 1: the revision to resume from is compacted; meanwhile one host was drained and one deleted.
 void a_compacted_resume_misses_no_drain() {
     World world;
     world.begin();
     world.until_list("a+b+c+d+");
-    world.watched();
+    world.until_watched();
     world.registry().stop();
     world.until([&] { return world.has_logged("registry.left"); });
     world.registry().put(World::key("a"), value("terminating"));
@@ -91,70 +91,70 @@
     world.registry().start();
     world.until_list("a-c+d+");
     assert(world.has_logged("is compacted"));
-    world.settled();
+    world.until_consistent();
 }
 
-// Hard case 1: compacted again during the read, and the list changes between its pages.
-void a_read_that_is_compacted_away_begins_anew() {
+// Hard case 1: the read's revision is compacted too, and the list changes between its pages.
+void a_read_whose_revision_is_compacted_starts_again() {
     World world;
-    int act = 0;
+    int page_count = 0;
     world.registry().before_page([&] {
-        if (act++ > 0) return;
+        if (page_count++ > 0) return;
         world.registry().put(World::key("a"), value("terminating"));
         world.registry().compact(world.registry().remove(World::key("d")));
     });
     world.begin();
     world.until_list("a-b+c+");
-    world.watched();
-    world.settled();
+    world.until_watched();
+    world.until_consistent();
 }
 
-// Hard case 2: open and dead, pings answered.
-void a_quiet_watch_is_left() {
+// Hard case 2: the watch is open but dead, and pings are still answered.
+void a_silent_watch_is_closed() {
     World world;
     world.begin();
     world.until_list("a+b+c+d+");
-    world.watched();
+    world.until_watched();
     world.registry().mute(true);
     world.registry().put(World::key("a"), value("terminating"));
     world.until([&] { return world.has_logged("no message on the watch within its timeout"); });
     world.registry().mute(false);
     world.until_list("a-b+c+d+");
-    world.settled();
+    world.until_consistent();
 }
 
-// Hard case 2: progress goes on, one word was told to nobody.
-void a_missed_word_is_found() {
+// Hard case 2: the watch reports progress, but one update was sent to no watch.
+void a_missed_update_is_found() {
     World world;
     world.begin();
     world.until_list("a+b+c+d+");
-    world.watched();
+    world.until_watched();
     world.registry().skip_events(1);
     world.registry().put(World::key("a"), value("terminating"));
     world.until_list("a-b+c+d+");
     assert(world.has_logged("the watch has missed /hosts/a"));
-    world.settled();
+    world.until_consistent();
 }
 
-// Hard case 3: the stream ends between the pieces of one batch.
-void half_a_batch_is_none() {
+// Hard case 3: the stream ends between the fragments of one batch.
+void an_incomplete_batch_is_ignored() {
     World world;
     world.begin();
     world.until_list("a+b+c+d+");
-    world.watched();
+    world.until_watched();
     world.registry().fragment(1, 1);
     world.registry().write({{0, World::key("a"), value("terminating"), false},
                             {0, World::key("b"), value("terminating"), false},
                             {0, World::key("c"), value("terminating"), false}});
     world.until_list("a-b-c-d+");
     assert(world.registry().watches() >= 2);
-    world.settled();
+    world.until_consistent();
 }
 
-// Hard case 4: after a change of member the new one lags: no drained host comes back to life.
-void a_lagging_member_is_not_believed() {
+// Hard case 4: the source changes to a member that lags; no draining host returns to service.
+void data_of_a_lagging_member_is_ignored() {
     World world(2);
-    // Both hold the same words; the second stands three behind.
+    // Both registries have the same updates; one of them is made to lag.
     for (const char *id : {"a", "b", "c", "d"}) world.registry(1).put(World::key(id), value("in_service"));
     world.begin();
     world.until_list("a+b+c+d+");
@@ -173,12 +173,12 @@
     world.until_list("a-b-c-d+");
 }
 
-// Hard case 5: the registry has lost its data: the hosts stay, and go once the doubt has passed.
+// Hard case 5: the registry has lost its data; the hosts stay until the doubt times out.
 void lost_data_is_doubted_first() {
     World world;
     world.begin();
     world.until_list("a+b+c+d+");
-    world.watched();
+    world.until_watched();
     world.registry().stop();
     world.registry().lose_data();
     world.registry().start();
@@ -186,23 +186,24 @@
     assert(world.has_logged("registry revisions were reset"));
     assert(world.list_text() == "a+b+c+d+");
     world.until_list("");
-    world.settled();
+    world.until_consistent();
 }
 
-// A router that starts while the registry is away has the hosts it knew; a torn file is ignored and said so.
-void the_last_known_list_bridges_a_start() {
+// A source that starts while the registry is down uses the cached list; a truncated file is ignored and
+// logged.
+void the_cached_list_is_used_at_a_start() {
     const auto path =
         std::filesystem::temp_directory_path() / ("pineridge-known-" + std::to_string(::getpid()));
     {
         World world;
-        world.known = path.string();
+        world.cache_file = path.string();
         world.begin();
         world.until_list("a+b+c+d+");
         world.until([&] { return std::filesystem::exists(path); });
     }
     {
         World world;
-        world.known = path.string();
+        world.cache_file = path.string();
         world.registry().put(World::key("a"), value("terminating"));
         world.registry().stop();
         world.begin();
@@ -213,27 +214,27 @@
     }
     std::filesystem::resize_file(path, 20);
     World world;
-    world.known = path.string();
+    world.cache_file = path.string();
     world.begin();
     world.until_list("a+b+c+d+");
     assert(world.has_logged("registry.known ignored="));
     std::filesystem::remove(path);
 }
 
-// Hard case 7: values of any size are one host's matter.
-void a_huge_value_leaves_the_rest_unharmed() {
+// Hard case 7: a value of any size affects only its own host.
+void a_huge_value_affects_only_its_host() {
     World world;
     world.begin();
     world.until_list("a+b+c+d+");
-    world.watched();
+    world.until_watched();
     world.registry().put(World::key("a"), std::string(1 << 20, 'x'));
     world.registry().put(World::key("b"), value("terminating"));
     world.until_list("a+b-c+d+");
-    world.settled({World::key("a")});
+    world.until_consistent({World::key("a")});
 }
 
-// The same where one value is larger than any message that is taken: in a read, and in the watch.
-void a_value_beyond_all_bounds_leaves_the_rest_unharmed() {
+// The same for a value over the limit on messages, in a read and in the watch.
+void a_value_over_the_message_limit_affects_only_its_host() {
     World world;
     const std::string huge(6 << 20, 'x');
     world.registry().put(World::key("b"), huge);
@@ -241,7 +242,7 @@
     world.until_list("a+c+d+");
     world.until(
         [&] { return world.has_logged("unreadable: /hosts/b: value exceeds the message size limit"); });
-    world.watched();
+    world.until_watched();
     world.registry().write(
         {{0, World::key("c"), huge, false}, {0, World::key("d"), value("terminating"), false}});
     world.until_list("a+c+d-");
@@ -250,7 +251,7 @@
     assert(!world.has_logged("registry.left"));
     world.registry().put(World::key("b"), value("in_service"));
     world.until_list("a-b+c+d-");
-    world.settled({World::key("c")});
+    world.until_consistent({World::key("c")});
 }
 
 } // namespace
@@ -258,13 +259,13 @@
 int main() {
     a_list_is_read_in_pages_and_followed();
     a_compacted_resume_misses_no_drain();
-    a_read_that_is_compacted_away_begins_anew();
-    a_quiet_watch_is_left();
-    a_missed_word_is_found();
-    half_a_batch_is_none();
-    a_lagging_member_is_not_believed();
+    a_read_whose_revision_is_compacted_starts_again();
+    a_silent_watch_is_closed();
+    a_missed_update_is_found();
+    an_incomplete_batch_is_ignored();
+    data_of_a_lagging_member_is_ignored();
     lost_data_is_doubted_first();
-    the_last_known_list_bridges_a_start();
-    a_huge_value_leaves_the_rest_unharmed();
-    a_value_beyond_all_bounds_leaves_the_rest_unharmed();
+    the_cached_list_is_used_at_a_start();
+    a_huge_value_affects_only_its_host();
+    a_value_over_the_message_limit_affects_only_its_host();
 }
--- a/tests/membership/source_world.hpp
+++ b/tests/membership/source_world.hpp
@@ -1,4 +1,5 @@
-// A source with its view, told lists and a log, driven until events; for tests against any stand-in registry.
+// A source with the list it reports and its log, run until a condition holds; for tests with any stand-in
+// registry.
 #pragma once
 
 #include "../until.hpp"
@@ -23,7 +24,7 @@
 struct SourceWorld {
     SourceWorld() : log(logged, "n1", Level::info) {}
     ~SourceWorld() { stop(); }
-    void stop() { // what the source was handed is needed until here
+    void stop() { // before what the source refers to is destroyed
         if (!source || std::exchange(stopped, true)) return;
         source->stop();
         io.run_for(std::chrono::milliseconds(50));
@@ -32,7 +33,7 @@
     void begin(SourceOptions options) {
         source.emplace(
             io, std::move(options), read_value, limits, log, 7, [this] { return time(); },
-            [this](const Listing &told) { take(told); });
+            [this](const Listing &listing) { apply(listing); });
         source->begin();
     }
     Ticks time() const {
@@ -40,8 +41,8 @@
                    .count() /
                100;
     }
-    void take(const Listing &told) {
-        for (const Member &member : told.members) {
+    void apply(const Listing &listing) {
+        for (const Member &member : listing.members) {
             const std::string &id = member.entry.id;
             if (member.entry.status == HostStatus::gone)
                 list.erase(id);
@@ -54,14 +55,14 @@
         test::run_until(
             io, held, 20, [&] { return logged.str() + list_text(); }, place);
     }
-    std::string list_text() const { // "a+b-": a is ready, b drains
+    std::string list_text() const { // "a+b-": a is ready, b is draining
         std::string all;
-        for (const auto &[id, standing] : list) all += id + (standing == HostStatus::ready ? "+" : "-");
+        for (const auto &[id, status] : list) all += id + (status == HostStatus::ready ? "+" : "-");
         return all;
     }
-    void until_list(const std::string &wanted,
+    void until_list(const std::string &expected,
                     const std::source_location &place = std::source_location::current()) {
-        until([&] { return list_text() == wanted; }, place);
+        until([&] { return list_text() == expected; }, place);
     }
     bool has_logged(const std::string &part) const { return logged.str().find(part) != std::string::npos; }
 
--- a/tests/membership/tls_test.cpp
+++ b/tests/membership/tls_test.cpp
@@ -1,5 +1,5 @@
-// A registry over TLS: the engine by its bytes, files that cannot be used, and a source on loopback against
-// grpc++'s own TLS, through wrong, old and replaced certificates.
+// Tests a registry over TLS: the engine's bytes, unusable files, and a source on loopback against grpc++'s
+// TLS with wrong, expired and replaced certificates.
 #undef NDEBUG
 #include "base/bad_input.hpp"
 #include "membership/etcd/follower.hpp"
@@ -25,7 +25,7 @@
     }
     ~Folder() { std::filesystem::remove_all(path); }
     std::string put(const std::string &name, const std::string &text) const {
-        // As a careful hand replaces a file: whole, by a rename.
+        // Replaces the file atomically, by a rename.
         std::ofstream(path / (name + ".new")) << text;
         std::filesystem::rename(path / (name + ".new"), path / name);
         return (path / name).string();
@@ -33,7 +33,7 @@
     std::filesystem::path path;
 };
 
-std::string fault_of(const tls::Files &files) {
+std::string load_error(const tls::Files &files) {
     try {
         tls::make_engine_factory(files);
     } catch (const BadInput &bad) {
@@ -49,19 +49,19 @@
     const std::string ca = folder.put("ca", authority.certificate()),
                       own = folder.put("own", mine.certificate);
     const std::string key = folder.put("key", mine.key), wrong = folder.put("wrong", other.key);
-    assert(fault_of({ca, own, key, ""}).empty());
-    assert(fault_of({ca + "-", own, key, ""}).find(ca + "-: ") == 0);
-    assert(fault_of({folder.put("odd", "no PEM"), own, key, ""}).find("odd: ") != std::string::npos);
-    assert(fault_of({ca, key, key, ""}).find(key + ": ") == 0);
-    assert(fault_of({ca, own, wrong, ""}).find(wrong + ": ") == 0);
+    assert(load_error({ca, own, key, ""}).empty());
+    assert(load_error({ca + "-", own, key, ""}).find(ca + "-: ") == 0);
+    assert(load_error({folder.put("odd", "no PEM"), own, key, ""}).find("odd: ") != std::string::npos);
+    assert(load_error({ca, key, key, ""}).find(key + ": ") == 0);
+    assert(load_error({ca, own, wrong, ""}).find(wrong + ": ") == 0);
 }
 
-void noise_breaks_the_handshake() {
+void invalid_bytes_fail_the_handshake() {
     const Folder folder;
     const auto maker =
         tls::make_engine_factory({folder.put("ca", Authority("one").certificate()), "", "", ""});
     const auto engine = maker->make_engine("127.0.0.1", "h2");
-    assert(engine->take_output().size() > 100); // the client's first words
+    assert(engine->take_output().size() > 100); // the ClientHello
     engine->send("kept until the handshake is done");
     assert(engine->take_output().empty());
     assert(!engine->feed("HTTP/1.1 400 Bad Request\r\n\r\n") && !engine->error().empty());
@@ -107,14 +107,14 @@
     world.registry.cancel_streams();
     world.registry.put("/hosts/b", host_value("in_service"));
     world.until_list("a-b+");
-    // Larger than one record of TLS, in one answer.
+    // One answer larger than a TLS record.
     for (int i = 0; i < 300; ++i)
         world.registry.put("/hosts/c" + std::to_string(i), host_value("in_service"));
     world.until([&] { return world.list.size() == 302; });
     assert(!world.has_logged("token-of-ours") && !world.has_logged("PRIVATE"));
 }
 
-void without_its_certificate_a_router_is_not_let_in() {
+void a_router_without_a_certificate_is_rejected() {
     const Folder folder;
     const Authority theirs("theirs"), ours("ours");
     World world(theirs.issue("127.0.0.1"), ours.certificate());
@@ -123,9 +123,8 @@
     assert(!world.source->view().synced());
 }
 
-// Nothing is told to, or believed of, a registry that is not the one; new files are taken while it runs, bad
-// ones are not.
-void wrong_and_old_certificates_and_files_that_change() {
+// A registry with a wrong certificate is rejected. New files are loaded while running, unusable ones are not.
+void wrong_expired_and_replaced_certificates() {
     const Folder folder;
     const Authority theirs("theirs"), foreign("foreign");
     World world(theirs.issue("127.0.0.1"));
@@ -137,19 +136,19 @@
     folder.put("ca", theirs.certificate());
     world.until_list("a+");
 
-    World named(theirs.issue("elsewhere.example"));
-    named.begin({folder.put("ca", theirs.certificate()), "", "", ""});
-    named.until([&] { return named.has_logged("TLS: server certificate: IP address mismatch"); });
-    World told(theirs.issue("elsewhere.example"));
-    told.begin({folder.put("ca", theirs.certificate()), "", "", "elsewhere.example"});
-    told.until_list("a+");
-    World old(theirs.issue("127.0.0.1", -1));
-    old.begin({folder.put("ca", theirs.certificate()), "", "", ""});
-    old.until([&] { return old.has_logged("TLS: server certificate: certificate has expired"); });
+    World wrong_name(theirs.issue("elsewhere.example"));
+    wrong_name.begin({folder.put("ca", theirs.certificate()), "", "", ""});
+    wrong_name.until([&] { return wrong_name.has_logged("TLS: server certificate: IP address mismatch"); });
+    World configured_name(theirs.issue("elsewhere.example"));
+    configured_name.begin({folder.put("ca", theirs.certificate()), "", "", "elsewhere.example"});
+    configured_name.until_list("a+");
+    World expired(theirs.issue("127.0.0.1", -1));
+    expired.begin({folder.put("ca", theirs.certificate()), "", "", ""});
+    expired.until([&] { return expired.has_logged("TLS: server certificate: certificate has expired"); });
 }
 
-// Plaintext on the other side is no registry.
-void plaintext_is_not_fallen_back_to() {
+// A registry that answers in plaintext is rejected.
+void there_is_no_fallback_to_plaintext() {
     const Folder folder;
     const Authority theirs("theirs");
     standins::Registry plain;
@@ -173,9 +172,9 @@
 
 int main() {
     files_that_cannot_be_used_are_named();
-    noise_breaks_the_handshake();
+    invalid_bytes_fail_the_handshake();
     a_list_is_followed_with_certificates_on_both_sides();
-    without_its_certificate_a_router_is_not_let_in();
-    wrong_and_old_certificates_and_files_that_change();
-    plaintext_is_not_fallen_back_to();
+    a_router_without_a_certificate_is_rejected();
+    wrong_expired_and_replaced_certificates();
+    there_is_no_fallback_to_plaintext();
 }
--- a/tests/membership/view_test.cpp
+++ b/tests/membership/view_test.cpp
@@ -1,4 +1,4 @@
-// Each test tells a view what a registry would and looks at the list that comes of it.
+// Each test feeds a view the updates that a registry would send, and checks the resulting list.
 #undef NDEBUG
 #include "membership/view.hpp"
 
@@ -9,16 +9,16 @@
 
 namespace {
 
-Record host(const std::string &id, std::int64_t rev, HostStatus standing = HostStatus::ready,
-            Ticks started = 0) {
+Record host_record(const std::string &id, std::int64_t rev, HostStatus status = HostStatus::ready,
+                   Ticks started = 0) {
     Record record;
     record.key = "hosts/" + id;
     record.revision = rev;
-    record.member = Member{{id, 0, 0, 0, 1, standing, 1, started}, {}};
+    record.member = Member{{id, 0, 0, 0, 1, status, 1, started}, {}};
     return record;
 }
 
-Record gone(const std::string &id, std::int64_t rev) {
+Record deleted_record(const std::string &id, std::int64_t rev) {
     Record record;
     record.key = "hosts/" + id;
     record.revision = rev;
@@ -26,7 +26,7 @@
     return record;
 }
 
-Record spoilt(const std::string &id, std::int64_t rev) {
+Record unreadable_record(const std::string &id, std::int64_t rev) {
     Record record;
     record.key = "hosts/" + id;
     record.revision = rev;
@@ -34,23 +34,23 @@
     return record;
 }
 
-struct Bench {
-    explicit Bench(ViewRules rules = {}) : view(rules) { view.set_time(now); }
+struct ViewFixture {
+    explicit ViewFixture(ViewRules rules = {}) : view(rules) { view.set_time(now); }
 
-    void read(std::int64_t rev, const std::vector<Record> &records) {
+    void full_read(std::int64_t rev, const std::vector<Record> &records) {
         view.begin_read();
         view.add_page(records);
         view.end_read(rev);
     }
-    void pass(Ticks span) { view.set_time(now += span); }
-    // What was taken, as "id:standing" in order, and kept as the module would.
-    std::string take() {
+    void advance(Ticks duration) { view.set_time(now += duration); }
+    // Takes the changes from the view, as "id:status" in order.
+    std::string take_changes() {
         std::string text;
         if (const auto listing = view.take_listing())
             for (const Member &member : listing->members) {
-                static constexpr const char *kWords[] = {"", "gone", "draining", "ready"};
+                static constexpr const char *kStatusNames[] = {"", "gone", "draining", "ready"};
                 text += (text.empty() ? "" : " ") + member.entry.id + ":" +
-                        kWords[static_cast<int>(member.entry.status)];
+                        kStatusNames[static_cast<int>(member.entry.status)];
             }
         return text;
     }
@@ -59,232 +59,237 @@
     View view;
 };
 
-void a_read_and_changes_make_the_list() {
-    Bench bench;
-    assert(bench.view.take_next_action() == NextAction::full_read);
-    bench.read(10, {host("a", 3), host("b", 4)});
-    assert(bench.take() == "a:ready b:ready" && bench.view.take_next_action() == NextAction::resume_watch &&
-           bench.view.revision() == 10);
-    bench.view.apply_change(host("a", 11, HostStatus::draining));
-    bench.view.apply_change(host("c", 12));
-    assert(bench.take() == "a:draining c:ready" && bench.view.revision() == 12);
-    bench.view.apply_change(gone("a", 13));
-    assert(bench.take() == "a:gone" && bench.take().empty());
+void a_full_read_and_changes_make_the_list() {
+    ViewFixture fixture;
+    assert(fixture.view.take_next_action() == NextAction::full_read);
+    fixture.full_read(10, {host_record("a", 3), host_record("b", 4)});
+    assert(fixture.take_changes() == "a:ready b:ready" &&
+           fixture.view.take_next_action() == NextAction::resume_watch && fixture.view.revision() == 10);
+    fixture.view.apply_change(host_record("a", 11, HostStatus::draining));
+    fixture.view.apply_change(host_record("c", 12));
+    assert(fixture.take_changes() == "a:draining c:ready" && fixture.view.revision() == 12);
+    fixture.view.apply_change(deleted_record("a", 13));
+    assert(fixture.take_changes() == "a:gone" && fixture.take_changes().empty());
 }
 
-void late_repeated_and_crossing_words_change_nothing() {
-    Bench bench;
-    bench.read(10, {host("a", 3)});
-    bench.take();
-    bench.view.apply_change(host("a", 12, HostStatus::draining));
-    bench.view.apply_change(host("a", 11)); // crossed: told by the old watch after the new one began
-    bench.view.apply_change(host("a", 12, HostStatus::draining));
-    assert(bench.take() == "a:draining");
-    bench.view.apply_change(gone("a", 14));
-    bench.view.apply_change(host("a", 13));
-    assert(bench.take() == "a:gone" && bench.view.records().empty());
+void late_repeated_and_reordered_changes_are_ignored() {
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3)});
+    fixture.take_changes();
+    fixture.view.apply_change(host_record("a", 12, HostStatus::draining));
+    fixture.view.apply_change(
+        host_record("a", 11)); // reordered: sent by the old watch after the new one began
+    fixture.view.apply_change(host_record("a", 12, HostStatus::draining));
+    assert(fixture.take_changes() == "a:draining");
+    fixture.view.apply_change(deleted_record("a", 14));
+    fixture.view.apply_change(host_record("a", 13));
+    assert(fixture.take_changes() == "a:gone" && fixture.view.records().empty());
 }
 
-// A host deleted and one drained between the last revision seen and the compaction are both noticed by the
-// read.
+// After a compaction, the full read reveals both a deletion and a drain that happened before it.
 void a_read_after_compaction_misses_no_drain() {
-    Bench bench;
-    bench.read(10, {host("a", 3), host("b", 4), host("c", 5), host("d", 6)});
-    bench.take();
-    bench.view.watch_ended();
-    assert(bench.view.take_next_action() == NextAction::resume_watch);
-    bench.view.watch_compacted();
-    assert(bench.view.take_next_action() == NextAction::full_read);
-    bench.read(90, {host("a", 50, HostStatus::draining), host("c", 5), host("d", 6)});
-    assert(bench.take() == "b:gone a:draining c:ready d:ready");
+    ViewFixture fixture;
+    fixture.full_read(10,
+                      {host_record("a", 3), host_record("b", 4), host_record("c", 5), host_record("d", 6)});
+    fixture.take_changes();
+    fixture.view.watch_ended();
+    assert(fixture.view.take_next_action() == NextAction::resume_watch);
+    fixture.view.watch_compacted();
+    assert(fixture.view.take_next_action() == NextAction::full_read);
+    fixture.full_read(90,
+                      {host_record("a", 50, HostStatus::draining), host_record("c", 5), host_record("d", 6)});
+    assert(fixture.take_changes() == "b:gone a:draining c:ready d:ready");
 }
 
-void a_drain_told_during_a_read_is_honoured_at_once() {
-    Bench bench;
-    bench.read(10, {host("a", 3), host("b", 4)});
-    bench.take();
-    bench.view.begin_read();
-    bench.view.add_page({host("a", 3)}); // a page from before the drain
-    bench.view.apply_change(host("a", 12, HostStatus::draining));
-    assert(bench.take() == "a:draining");
-    bench.view.add_page({host("b", 4)});
-    bench.view.end_read(11);
-    assert(bench.take().find("a:ready") == std::string::npos);
-    bench.view.begin_read();
-    bench.view.apply_change(gone("b", 13));
-    assert(bench.take() == "b:gone");
-    bench.view.add_page({host("a", 12, HostStatus::draining), host("b", 4)});
-    bench.view.end_read(12);
-    assert(bench.take().find("b:ready") == std::string::npos);
+void a_drain_during_a_read_applies_at_once() {
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3), host_record("b", 4)});
+    fixture.take_changes();
+    fixture.view.begin_read();
+    fixture.view.add_page({host_record("a", 3)}); // a page from before the drain
+    fixture.view.apply_change(host_record("a", 12, HostStatus::draining));
+    assert(fixture.take_changes() == "a:draining");
+    fixture.view.add_page({host_record("b", 4)});
+    fixture.view.end_read(11);
+    assert(fixture.take_changes().find("a:ready") == std::string::npos);
+    fixture.view.begin_read();
+    fixture.view.apply_change(deleted_record("b", 13));
+    assert(fixture.take_changes() == "b:gone");
+    fixture.view.add_page({host_record("a", 12, HostStatus::draining), host_record("b", 4)});
+    fixture.view.end_read(12);
+    assert(fixture.take_changes().find("b:ready") == std::string::npos);
 }
 
-void what_a_broken_read_told_is_not_believed() {
-    Bench bench;
-    bench.read(10, {host("a", 3), host("b", 4)});
-    bench.take();
-    bench.view.begin_read();
-    bench.view.add_page({host("a", 3)});
-    bench.view.watch_ended();
-    assert(bench.take().empty() && bench.view.take_next_action() == NextAction::full_read &&
-           bench.view.records().size() == 2);
+void the_pages_of_an_aborted_read_are_discarded() {
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3), host_record("b", 4)});
+    fixture.take_changes();
+    fixture.view.begin_read();
+    fixture.view.add_page({host_record("a", 3)});
+    fixture.view.watch_ended();
+    assert(fixture.take_changes().empty() && fixture.view.take_next_action() == NextAction::full_read &&
+           fixture.view.records().size() == 2);
 }
 
-void a_member_that_lags_is_not_believed() {
-    Bench bench;
-    bench.read(10, {host("a", 3)});
-    bench.view.apply_change(host("a", 20, HostStatus::draining));
-    bench.take();
-    bench.read(15, {host("a", 3), host("b", 12)});
-    assert(bench.take().empty() && bench.view.take_next_action() == NextAction::change_endpoint);
-    bench.view.check_member_revision(19);
-    assert(bench.view.take_next_action() == NextAction::change_endpoint);
+void data_of_a_lagging_member_is_ignored() {
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3)});
+    fixture.view.apply_change(host_record("a", 20, HostStatus::draining));
+    fixture.take_changes();
+    fixture.full_read(15, {host_record("a", 3), host_record("b", 12)});
+    assert(fixture.take_changes().empty() && fixture.view.take_next_action() == NextAction::change_endpoint);
+    fixture.view.check_member_revision(19);
+    assert(fixture.view.take_next_action() == NextAction::change_endpoint);
 }
 
-void a_process_that_returns_is_another() {
-    Bench bench;
-    bench.read(10, {host("a", 3, HostStatus::ready, 100)});
-    bench.take();
-    bench.view.apply_change(gone("a", 11));
-    bench.view.apply_change(host("a", 12, HostStatus::ready, 900));
-    const auto listing = bench.view.take_listing();
+void a_key_that_returns_is_another_process() {
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3, HostStatus::ready, 100)});
+    fixture.take_changes();
+    fixture.view.apply_change(deleted_record("a", 11));
+    fixture.view.apply_change(host_record("a", 12, HostStatus::ready, 900));
+    const auto listing = fixture.view.take_listing();
     assert(listing && listing->members.size() == 2 && listing->members[0].entry.status == HostStatus::gone);
     assert(listing->members[1].entry.started == 900);
 }
 
 void unreadable_values_leave_their_host_as_it_was() {
-    Bench bench;
-    bench.read(10, {host("a", 3), spoilt("b", 4)});
-    assert(bench.take() == "a:ready");
-    bench.view.apply_change(spoilt("a", 11));
-    bench.view.apply_change(spoilt("a", 12));
-    assert(bench.take().empty() && bench.view.unreadable_count() == 3 &&
-           bench.view.take_log_lines().size() == 2);
-    bench.view.apply_change(host("a", 13, HostStatus::draining));
-    assert(bench.take() == "a:draining");
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3), unreadable_record("b", 4)});
+    assert(fixture.take_changes() == "a:ready");
+    fixture.view.apply_change(unreadable_record("a", 11));
+    fixture.view.apply_change(unreadable_record("a", 12));
+    assert(fixture.take_changes().empty() && fixture.view.unreadable_count() == 3 &&
+           fixture.view.take_log_lines().size() == 2);
+    fixture.view.apply_change(host_record("a", 13, HostStatus::draining));
+    assert(fixture.take_changes() == "a:draining");
 }
 
-// The registry came back empty: the hosts stay, until a second read lacks them too.
+// The registry lost all its hosts: they stay until a second read lacks them too.
 void an_empty_registry_is_doubted() {
-    Bench bench;
-    bench.read(10, {host("a", 3), host("b", 4), host("c", 5), host("d", 6)});
-    bench.take();
-    bench.view.take_next_action();
-    bench.read(11, {});
-    assert(bench.take().empty() && bench.view.has_doubted_hosts() &&
-           bench.view.take_next_action() == NextAction::resume_watch);
-    bench.pass(10000);
-    assert(bench.view.take_next_action() == NextAction::full_read);
-    bench.read(12, {});
-    assert(bench.take() == "a:gone b:gone c:gone d:gone" && !bench.view.has_doubted_hosts());
+    ViewFixture fixture;
+    fixture.full_read(10,
+                      {host_record("a", 3), host_record("b", 4), host_record("c", 5), host_record("d", 6)});
+    fixture.take_changes();
+    fixture.view.take_next_action();
+    fixture.full_read(11, {});
+    assert(fixture.take_changes().empty() && fixture.view.has_doubted_hosts() &&
+           fixture.view.take_next_action() == NextAction::resume_watch);
+    fixture.advance(10000);
+    assert(fixture.view.take_next_action() == NextAction::full_read);
+    fixture.full_read(12, {});
+    assert(fixture.take_changes() == "a:gone b:gone c:gone d:gone" && !fixture.view.has_doubted_hosts());
 }
 
-void the_doubt_ends_by_time() {
-    Bench bench;
-    bench.read(10, {host("a", 3), host("b", 4), host("c", 5), host("d", 6)});
-    bench.take();
-    bench.read(11, {host("d", 6)});
-    bench.take();
-    bench.pass(49999);
-    assert(bench.take().empty());
-    bench.pass(1);
-    assert(bench.take() == "a:gone b:gone c:gone");
+void doubt_times_out() {
+    ViewFixture fixture;
+    fixture.full_read(10,
+                      {host_record("a", 3), host_record("b", 4), host_record("c", 5), host_record("d", 6)});
+    fixture.take_changes();
+    fixture.full_read(11, {host_record("d", 6)});
+    fixture.take_changes();
+    fixture.advance(49999);
+    assert(fixture.take_changes().empty());
+    fixture.advance(1);
+    assert(fixture.take_changes() == "a:gone b:gone c:gone");
 }
 
-void hosts_that_come_back_end_the_doubt() {
-    Bench bench;
-    bench.read(10, {host("a", 3), host("b", 4), host("c", 5)});
-    bench.take();
-    bench.read(11, {});
-    bench.read(12, {host("a", 12), host("b", 12), host("c", 12)});
-    bench.pass(100000);
-    assert(bench.take().find("gone") == std::string::npos && bench.view.records().size() == 3);
+void returning_hosts_end_the_doubt() {
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3), host_record("b", 4), host_record("c", 5)});
+    fixture.take_changes();
+    fixture.full_read(11, {});
+    fixture.full_read(12, {host_record("a", 12), host_record("b", 12), host_record("c", 12)});
+    fixture.advance(100000);
+    assert(fixture.take_changes().find("gone") == std::string::npos && fixture.view.records().size() == 3);
 }
 
-void drains_told_one_by_one_are_never_doubted() {
-    Bench bench;
-    bench.read(10, {host("a", 3), host("b", 4), host("c", 5)});
-    bench.take();
-    bench.read(11, {});
-    bench.view.apply_change(gone("a", 12));
-    assert(bench.take() == "a:gone");
-    bench.view.apply_change(host("b", 13, HostStatus::draining));
-    assert(bench.take() == "b:draining");
+void single_drains_and_deletions_are_never_doubted() {
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3), host_record("b", 4), host_record("c", 5)});
+    fixture.take_changes();
+    fixture.full_read(11, {});
+    fixture.view.apply_change(deleted_record("a", 12));
+    assert(fixture.take_changes() == "a:gone");
+    fixture.view.apply_change(host_record("b", 13, HostStatus::draining));
+    assert(fixture.take_changes() == "b:draining");
 }
 
-void a_few_hosts_missing_are_gone_at_once() {
-    Bench bench;
-    bench.read(10, {host("a", 3), host("b", 4), host("c", 5), host("d", 6), host("e", 7)});
-    bench.take();
-    bench.read(11, {host("a", 3), host("b", 4), host("c", 5)});
-    assert(bench.take().rfind("d:gone e:gone", 0) == 0);
+void a_few_missing_hosts_are_removed_at_once() {
+    ViewFixture fixture;
+    fixture.full_read(10, {host_record("a", 3), host_record("b", 4), host_record("c", 5), host_record("d", 6),
+                           host_record("e", 7)});
+    fixture.take_changes();
+    fixture.full_read(11, {host_record("a", 3), host_record("b", 4), host_record("c", 5)});
+    assert(fixture.take_changes().rfind("d:gone e:gone", 0) == 0);
 }
 
-void the_last_known_list_serves_until_the_registry_tells() {
-    Bench bench;
-    bench.view.start_from({host("a", 99), host("b", 99)});
-    assert(bench.take() == "a:ready b:ready" && bench.view.age() < 0 && !bench.view.synced());
-    bench.read(10, {host("a", 3, HostStatus::draining)});
-    assert(bench.take() == "b:gone a:draining");
+void the_cached_list_is_used_until_the_registry_answers() {
+    ViewFixture fixture;
+    fixture.view.start_from({host_record("a", 99), host_record("b", 99)});
+    assert(fixture.take_changes() == "a:ready b:ready" && fixture.view.age() < 0 && !fixture.view.synced());
+    fixture.full_read(10, {host_record("a", 3, HostStatus::draining)});
+    assert(fixture.take_changes() == "b:gone a:draining");
 }
 
-// Counted anew after its data was lost, an older word brings no draining host back; the last known list does
-// not bind.
-void no_draining_host_comes_back_with_lost_data() {
+// After the registry lost its data and restarted its revisions, older data must not put a draining host back
+// into service. Statuses from the cached list are not kept in this way.
+void a_draining_host_stays_draining_after_data_loss() {
     ViewRules rules;
     rules.max_lag_time = 1000;
-    Bench bench(rules);
-    bench.read(10, {host("a", 3), host("b", 4)});
-    bench.view.apply_change(host("a", 11, HostStatus::draining));
-    bench.take();
-    bench.read(5, {host("a", 3), host("b", 4)});
-    assert(bench.view.take_next_action() == NextAction::change_endpoint);
-    bench.pass(1000);
-    bench.read(5, {host("a", 3), host("b", 4)});
-    assert(bench.take() == "a:draining b:ready" && bench.view.revision() == 5);
-    bench.view.apply_change(host("a", 6, HostStatus::ready, 700));
-    assert(bench.take() == "a:ready"); // it has started again
-    Bench fresh;
-    fresh.view.start_from({host("a", 9, HostStatus::draining)});
-    fresh.read(10, {host("a", 10)});
-    assert(fresh.take() == "a:ready");
+    ViewFixture fixture(rules);
+    fixture.full_read(10, {host_record("a", 3), host_record("b", 4)});
+    fixture.view.apply_change(host_record("a", 11, HostStatus::draining));
+    fixture.take_changes();
+    fixture.full_read(5, {host_record("a", 3), host_record("b", 4)});
+    assert(fixture.view.take_next_action() == NextAction::change_endpoint);
+    fixture.advance(1000);
+    fixture.full_read(5, {host_record("a", 3), host_record("b", 4)});
+    assert(fixture.take_changes() == "a:draining b:ready" && fixture.view.revision() == 5);
+    fixture.view.apply_change(host_record("a", 6, HostStatus::ready, 700));
+    assert(fixture.take_changes() == "a:ready"); // it has started again
+    ViewFixture fresh;
+    fresh.view.start_from({host_record("a", 9, HostStatus::draining)});
+    fresh.full_read(10, {host_record("a", 10)});
+    assert(fresh.take_changes() == "a:ready");
 }
 
-void hosts_are_bounded() {
+void the_number_of_hosts_is_limited() {
     ViewRules rules;
     rules.max_hosts = 2;
-    Bench bench(rules);
-    bench.read(10, {host("a", 3), host("b", 4)});
-    bench.view.apply_change(host("c", 11));
-    assert(bench.view.records().size() == 2 && bench.view.unreadable_count() == 1);
+    ViewFixture fixture(rules);
+    fixture.full_read(10, {host_record("a", 3), host_record("b", 4)});
+    fixture.view.apply_change(host_record("c", 11));
+    assert(fixture.view.records().size() == 2 && fixture.view.unreadable_count() == 1);
 }
 
-void age_counts_from_the_last_word() {
-    Bench bench;
-    bench.read(10, {});
-    bench.pass(500);
-    assert(bench.view.age() == 500);
-    bench.view.record_progress(11);
-    assert(bench.view.age() == 0 && bench.view.revision() == 11);
+void age_counts_from_the_last_update() {
+    ViewFixture fixture;
+    fixture.full_read(10, {});
+    fixture.advance(500);
+    assert(fixture.view.age() == 500);
+    fixture.view.record_progress(11);
+    assert(fixture.view.age() == 0 && fixture.view.revision() == 11);
 }
 
 } // namespace
 
 int main() {
-    a_read_and_changes_make_the_list();
-    late_repeated_and_crossing_words_change_nothing();
+    a_full_read_and_changes_make_the_list();
+    late_repeated_and_reordered_changes_are_ignored();
     a_read_after_compaction_misses_no_drain();
-    a_drain_told_during_a_read_is_honoured_at_once();
-    what_a_broken_read_told_is_not_believed();
-    a_member_that_lags_is_not_believed();
-    a_process_that_returns_is_another();
+    a_drain_during_a_read_applies_at_once();
+    the_pages_of_an_aborted_read_are_discarded();
+    data_of_a_lagging_member_is_ignored();
+    a_key_that_returns_is_another_process();
     unreadable_values_leave_their_host_as_it_was();
     an_empty_registry_is_doubted();
-    the_doubt_ends_by_time();
-    hosts_that_come_back_end_the_doubt();
-    drains_told_one_by_one_are_never_doubted();
-    a_few_hosts_missing_are_gone_at_once();
-    the_last_known_list_serves_until_the_registry_tells();
-    no_draining_host_comes_back_with_lost_data();
-    hosts_are_bounded();
-    age_counts_from_the_last_word();
+    doubt_times_out();
+    returning_hosts_end_the_doubt();
+    single_drains_and_deletions_are_never_doubted();
+    a_few_missing_hosts_are_removed_at_once();
+    the_cached_list_is_used_until_the_registry_answers();
+    a_draining_host_stays_draining_after_data_loss();
+    the_number_of_hosts_is_limited();
+    age_counts_from_the_last_update();
 }
--- a/tests/membership/world.hpp
+++ b/tests/membership/world.hpp
@@ -1,4 +1,4 @@
-// A whole router that has its hosts from a stand-in registry, with traffic; for the test and the measurement.
+// A complete router with traffic that takes its hosts from a stand-in registry; for a test and a benchmark.
 #pragma once
 
 #include "../running_router.hpp"
@@ -16,7 +16,7 @@
     explicit RegistryWorld(int hosts = 6) : town(io, standins::ClusterOptions{}) {
         for (int i = 0; i < hosts; ++i) put(town.host("h" + std::to_string(i), "north", 1));
         town.write_files();
-        // Discovery knows nothing: all hosts come from the registry.
+        // Discovery has no hosts: all come from the registry.
         json config = json::parse(town.config_text());
         config["known"]["servers"] = json::array();
         std::ofstream(town.folder / "config.json") << config.dump();
@@ -42,8 +42,8 @@
         for (const auto &pick : town.picks) count += pick.host == id && pick.at >= since;
         return count;
     }
-    // Picks reach every host that is ready; then this one is drained, and `fault` strikes. How long after the
-    // word was told, on this connection or a later one, did the last pick reach it?
+    // Waits until picks reach the host, then drains it; `before` and `after` inject a fault around the
+    // update. Returns the ms from the update's writing to the last pick that reached the host.
     double drain_delay_ms(standins::Host &host, const std::function<void()> &before,
                           const std::function<void()> &after) {
         const std::int64_t began = standins::LocalCluster::now();
@@ -53,7 +53,7 @@
         put(host);
         const std::int64_t written = standins::LocalCluster::now();
         after();
-        // It is honoured once the others have served for longer than it was last picked.
+        // The drain has taken effect once the other hosts were picked for a while after its last pick.
         const auto quiet = [&] {
             std::int64_t last = written, newest = written;
             for (const auto &pick : town.picks) {
