--- a/src/release/plan.cpp
+++ b/src/release/plan.cpp
@@ -647,7 +647,7 @@
 }
 
 // The last wave whose cells may advance: in all waves before it every cell has reached the stage
-// `Scheme::follow`, except for cells of this zone whose customers are silent.
+// `ReleaseSettings::wave_gate_stage`, except for cells of this zone whose customers are silent.
 int Plan::last_open_wave(const Build &build) const {
     std::vector<int> silent(build.waves.count, 0);
     if (scheme_.silent_after > 0)
--- a/src/release/waves.hpp
+++ b/src/release/waves.hpp
@@ -1,5 +1,5 @@
 // The order in which cells receive a build. Cells are grouped into waves; a wave opens once the cells of the
-// preceding waves have reached the stage `Scheme::follow`.
+// preceding waves have reached the stage `ReleaseSettings::wave_gate_stage`.
 #pragma once
 
 #include "settings/release.hpp"
