--- a/src/membership/endpoints.hpp
+++ b/src/membership/endpoints.hpp
@@ -12,7 +12,7 @@
 
 namespace pineridge::membership {
 
-struct EndpointRules {
+struct EndpointRules { // times in ticks
     Ticks min_backoff = 500, max_backoff = 100000;
     Ticks read_spread = 0; // full reads after an outage are spread over this time; 0: no delay
 };
@@ -39,19 +39,19 @@
         return earliest;
     }
     // The endpoint worked: its backoff starts again from the minimum.
-    void record_success(int at) {
-        states_[at].failures = 0;
+    void record_success(int index) {
+        states_[index].failures = 0;
         all_failed_ = false;
     }
     // The endpoint failed, or its data was rejected: it moves to the end of the order.
-    void record_failure(int at, Ticks now) {
-        State &state = states_[at];
+    void record_failure(int index, Ticks now) {
+        State &state = states_[index];
         const Ticks backoff =
             std::min(rules_.max_backoff, rules_.min_backoff << std::min(state.failures, 10));
         ++state.failures;
         state.available_at = now + static_cast<Ticks>(backoff * (0.75 + 0.5 * random_.uniform()));
-        std::erase(order_, static_cast<std::size_t>(at));
-        order_.push_back(static_cast<std::size_t>(at));
+        std::erase(order_, static_cast<std::size_t>(index));
+        order_.push_back(static_cast<std::size_t>(index));
         all_failed_ = all_failed_ || std::all_of(states_.begin(), states_.end(),
                                                  [&](const State &one) { return one.failures > 0; });
     }
