--- a/standins/discovery/faulty.hpp
+++ b/standins/discovery/faulty.hpp
@@ -24,8 +24,9 @@
         refusing_new_calls, // as `refusing`, but open watches continue
         resetting, // resets the connection after `refuse_after`
         hanging, // accepts and never answers; open watches stay open and silent
-        truncating, // closes the connection in the middle of an answer
+        truncating, // resets the connection in the middle of an answer
     };
+    // One change of an entry, in the order of the versions.
     struct Change {
         std::int64_t at = 0; // ms since the Unix epoch
         std::string host, state;
